--- a/command/backpressure/alone.go
+++ b/command/backpressure/alone.go
@@ -62,7 +62,7 @@
 		part = &begun
 		a.parts[server] = part
 	}
-	part.Settle(share, now)
+	part.Refill(share, now)
 	if part.Take(1) {
 		return true, 0
 	}
--- a/command/backpressure/questions.go
+++ b/command/backpressure/questions.go
@@ -35,6 +35,6 @@
 	if !q.begun {
 		q.saved, q.begun = quota.NewBucket(part.Saved, now), true
 	}
-	q.saved.Settle(part, now)
+	q.saved.Refill(part, now)
 	return q.saved.Take(1)
 }
--- a/command/quota/bucket.go
+++ b/command/quota/bucket.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Bucket is something that is saved up at a rate, up to a number. It is not safe for concurrent use.
+// Bucket is a token bucket. It is not safe for concurrent use.
 type Bucket struct {
-	level   float64
-	settled time.Time
+	level      float64
+	refilledAt time.Time
 }
 
-// NewBucket returns a bucket that has so much as of a time.
-func NewBucket(level float64, settled time.Time) Bucket {
-	return Bucket{level: level, settled: settled}
+// NewBucket returns a bucket that had the given level at the time refilledAt.
+func NewBucket(level float64, refilledAt time.Time) Bucket {
+	return Bucket{level: level, refilledAt: refilledAt}
 }
 
-// Level returns what there was when it was last settled.
+// Level returns the level at the last refill, less what was taken since.
 func (b *Bucket) Level() float64 { return b.level }
 
-// Settle adds what has been gained until now at the rate of a share, up to what it may save.
-func (b *Bucket) Settle(s Share, now time.Time) {
-	if elapsed := now.Sub(b.settled); elapsed > 0 && !b.settled.IsZero() {
+// Refill adds what has been gained until now at the share's rate, up to the share's capacity.
+func (b *Bucket) Refill(s Share, now time.Time) {
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 && !b.refilledAt.IsZero() {
 		b.level += s.Rate * elapsed.Seconds()
 	}
-	if b.settled.IsZero() || now.After(b.settled) {
-		b.settled = now
+	if b.refilledAt.IsZero() || now.After(b.refilledAt) {
+		b.refilledAt = now
 	}
 	b.level = min(b.level, s.Saved)
 }
 
-// Take takes an amount and reports whether it was there.
+// Take takes an amount if the level is sufficient, and reports whether it was.
 func (b *Bucket) Take(amount float64) bool {
 	if b.level < amount {
 		return false
--- a/command/quota/quota.go
+++ b/command/quota/quota.go
@@ -1,34 +1,41 @@
-// Package quota keeps what each workspace asks for within its limit, summed over all
-// instances. It is pure: times are passed in, and nothing is sent.
+// Package quota limits the rate of requests of each workspace, summed over all instances. It is pure:
+// the current time is passed in, and nothing is sent.
 //
-// The holder of the lease lends each instance a share of a workspace's limit, by what is asked
-// for there: so much a second, and so much saved up (Lender). An instance lets requests run by
-// its shares alone (Shares), and asks the holder for single requests that go beyond. So most
-// requests need no question, and instances go on for a while when the holder is lost.
+// The lease holder lends each instance a share of a workspace's limit according to the demand there: a
+// rate, and an amount that may be saved up (Lender). An instance admits requests from its shares alone
+// (Shares), and queries the holder for single requests that exceed them. So most requests need no query,
+// and instances can continue for a while if the holder is lost.
 //
-// The bound. Let a limit be R a second and B saved up. All shares together and what the holder
-// keeps for questions gain at most R a second and have saved up at most
+// # The bound
+//
+// Let R be the rate of a limit and B its burst. All shares together with what the holder reserves for
+// queries gain at most R per second and have saved up at most
 //
 //	K = B + max(0, Z - R x T)
 //
-// where Z is what the deployment allows beyond R and B in a window, and T the longest time for
-// which something may be on its way between the holder and an instance, or be given back. What
-// is let run in a window W was saved up at its beginning, or gained in it, or was on its way
-// or had been taken by requests that did not run: at most K + R x W + R x T, which is within
-// the deployment's bound (R x W + B) x (1 + overage) + slack if Z is R x T at least. A request is let run between the
-// arrives within the window is let run within it.
+// where Z is what the deployment allows beyond R and B in a window, and T is the longest time for which
+// an amount may be in transit between the holder and an instance, or may be given back. What is admitted
+// in a window W was saved up at its start, was gained during it, was in transit, or had been taken by
+// requests that did not run: at most K + R x W + R x T. If Z is at least R x T, this is within the
+// deployment's bound of (R x W + B) x (1 + overage) + slack. A request is admitted between the time at
+// which it is sent and the time at which it reaches a server, so a request that is sent and arrives within
+// the window is admitted within it.
+//
+// # Lost messages
+//
+// The sum holds whichever messages are lost. The holder counts a share as lent from the time at which it
+// creates the reply that contains the share until the instance reports another one, or until the share's
+// lifetime has passed since the holder last sent it. At the instance, the share ends one lifetime after
+// the instance sent the report to which the reply belongs. If a message is lost, the larger of the two
+// shares remains counted. Lending moves saved-up amounts only if they are taken from the holder's own: a
+// share that grows starts with the level of the smaller one.
 //
-// The sum holds whatever is lost. A share counts as lent at the holder from when the reply
-// that has it is made until the instance reports another one, or for its lifetime after it
-// was last told; at the instance it ends its lifetime after the report to which it was the
-// answer was sent. A message that is lost leaves the larger of two shares counted. A share
-// only moves saved-up requests when these are taken from the holder's own: a share that grows
-// begins with what the smaller one had.
+// # Change of holder
 //
-// A holder lends, and answers questions, only while its lease is good. Its successor lends
-// nothing before the lease of the one before is over, and takes over the shares that
-// instances report. What is ever lent of a limit, less those, counts as lent to instances that
-// have not reported, until all have or the shares of the one before are over. No two clocks are
+// A holder lends and answers queries only while its lease is valid. Its successor lends nothing before
+// the previous lease has expired, and takes over the shares that instances report. The maximum that is
+// ever lent of a limit, less those shares, counts as lent to instances that have not reported, until all
+// have reported or the shares of the previous holder have expired. Clocks of different machines are never
 // compared.
 package quota
 
@@ -38,67 +45,68 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Params are the deployment's.
+// Params are the deployment's parameters.
 type Params struct {
-	// Window is the time over which a workspace's requests are counted, Overage the part and
-	// Slack the number by which they may go beyond its limit.
+	// Window is the time over which a workspace's requests are counted. Overage is the fraction, and
+	// Slack the absolute amount, by which they may exceed the limit.
 	Window         time.Duration
 	Overage, Slack float64
-	// Lifetime is how long a share lasts without another word of the holder. Where keys are
-	// not relied on for long without such a word, it is short; where an instance that is cut
-	// off is to go on, it is long.
+	// Lifetime is how long a share lasts without confirmation by the holder. It is short where keys
+	// must not be relied on for long without confirmation, and long where an instance that is cut off
+	// is to continue.
 	Lifetime time.Duration
 }
 
 const (
-	// transit bounds how long what was let run may be on its way between the holder's account
-	// and an instance's: that of one call.
-	transit = 500 * time.Millisecond
-	// giveBackWithin is the time within which what a request took is given back if it did not
-	// run. Most refusals come within milliseconds.
-	giveBackWithin = 200 * time.Millisecond
+	// maxTransit bounds the time for which an admitted amount may be in transit between the accounts of
+	// the holder and of an instance: the duration of one call.
+	maxTransit = 500 * time.Millisecond
+	// giveBackWindow is the time within which the cost of a request that did not run is given back.
+	// Most refusals arrive within milliseconds.
+	giveBackWindow = 200 * time.Millisecond
 )
 
-// saved returns K: how much may be saved up of a limit, over all instances.
-func (p Params) saved(l serving.Limit) float64 {
+// capacity returns K: the amount of a limit that may be saved up, over all instances.
+func (p Params) capacity(l serving.Limit) float64 {
 	window := p.Window.Seconds()
 	beyond := p.Overage*(l.Rate*window+l.Burst) + p.Slack
-	return l.Burst + max(0, beyond-l.Rate*(transit+giveBackWithin).Seconds())
+	return l.Burst + max(0, beyond-l.Rate*(maxTransit+giveBackWindow).Seconds())
 }
 
-// Share is an instance's part of a limit: what it gains a second, and how much it may save up.
+// Share is an instance's part of a limit: the rate per second, and the amount that may be saved up.
 type Share struct{ Rate, Saved float64 }
 
-// larger returns a share that covers both.
+// larger returns the smallest share that covers both.
 func (s Share) larger(other Share) Share {
 	return Share{max(s.Rate, other.Rate), max(s.Saved, other.Saved)}
 }
 
+// plus returns the sum of both shares.
 func (s Share) plus(other Share) Share { return Share{s.Rate + other.Rate, s.Saved + other.Saved} }
 
-// minus does not go below nothing.
+// minus returns the difference of the shares, at least zero.
 func (s Share) minus(other Share) Share {
 	return Share{max(0, s.Rate-other.Rate), max(0, s.Saved-other.Saved)}
 }
 
-// within returns the part of the share that is not above another.
+// within returns the share capped by another one.
 func (s Share) within(other Share) Share {
 	return Share{min(s.Rate, other.Rate), min(s.Saved, other.Saved)}
 }
 
-// Use is what an instance reports of one workspace.
+// Use is what an instance reports about one workspace.
 type Use struct {
 	Workspace string
-	// Asked is what was asked for since the report before, refused requests included, and
-	// Requests how many asked for it.
+	// Asked is the total cost of the requests since the previous report, including refused ones.
+	// Requests is their number.
 	Asked    float64
 	Requests int
-	// Refused is what of that was refused for the limit.
+	// Refused is the part of Asked that was refused because of the limit.
 	Refused float64
-	// Heaviest is the largest amount that was asked for at once.
+	// Heaviest is the largest cost of a single request.
 	Heaviest float64
-	// Held is the share in force there, and Level what of it is saved up. Returned is what was
-	// saved up beyond what the instance is to keep: it has given that up.
+	// Held is the share in effect, and Level the amount saved up. Returned is the amount that the
+	// instance had saved up beyond what it is to keep, and that it has given up with this report.
 	Held            Share
 	Level, Returned float64
 }
@@ -107,17 +115,19 @@
 type Loan struct {
 	Workspace string
 	Share     Share
-	// Keep is what the instance is to keep of what it has saved up when it reports: the rest
-	// is of more use to others. Grant is added to what it has.
+	// Keep is how much of its saved-up amount the instance keeps when it reports; the rest is returned
+	// for use by others. Grant is added to the saved-up amount.
 	Keep, Grant float64
 }
 
-// Answer is the holder's to a question for one request.
+// Answer is the holder's answer to a query for one request.
 type Answer struct {
-	// Granted: the request may run.
+	// Granted is set if the request may run.
 	Granted bool
-	// Known: the holder can say; it cannot if it has no such workspace, or may not lend.
+	// Known is set if the holder could decide. It cannot if it does not know the workspace, or may not
+	// lend.
 	Known bool
-	// After is when the request would be granted if nothing else were asked for; 0 if never.
+	// After is the time after which the request would be granted if there were no other requests; 0 if
+	// never.
 	After time.Duration
 }
--- a/command/quota/shares.go
+++ b/command/quota/shares.go
@@ -7,88 +7,89 @@
 	"time"
 )
 
-// Shares are what one instance has been lent. They are safe for concurrent use.
+// Shares are the shares that one instance has been lent. It is safe for concurrent use.
 type Shares struct {
 	lifetime time.Duration
 
 	mu          sync.Mutex
-	byWorkspace map[string]*held // guarded by mu
+	byWorkspace map[string]*workspaceShare // guarded by mu
 }
 
-// held is one instance's share of a workspace's limit.
-type held struct {
+// workspaceShare is one instance's share of a workspace's limit.
+type workspaceShare struct {
 	share Share
 	keep  float64
 	Bucket
-	// surplus is what was saved up beyond a share that became smaller. It may not be used, and
-	// goes back with the next report, while the holder still counts the larger share. Where
-	// each of 100 instances has a request now and then, 19 in 100 were refused while it was
-	// lost, and 12 in 100 are since (a day with some 1,350 requests on the users' platform).
+	// surplus is what was saved up beyond a share that has become smaller. It may not be used, and is
+	// returned with the next report, while the holder still counts the larger share. When the surplus
+	// was discarded instead, 19 in 100 requests were refused where each of 100 instances has a request
+	// only occasionally; now it is 12 in 100 (a run with about 1,350 requests on the users' platform).
 	surplus float64
-	// until is when the share ends without another word of the holder.
-	until time.Time
-	// asked and refused are since the last report; totals since the start.
+	// expiresAt is when the share ends unless the holder confirms it.
+	expiresAt time.Time
+	// asked, refused, heaviest and requests cover the time since the last report; the totals that since
+	// the start.
 	asked, refused, heaviest float64
 	requests                 int
 	totalAsked, totalRefused float64
-	// used is when anything was last asked for.
-	used time.Time
+	// lastRequest is the time of the last request.
+	lastRequest time.Time
 }
 
-// NewShares returns no shares. Each that is lent lasts for a lifetime.
+// NewShares returns an empty set of shares. Each share expires after lifetime unless it is confirmed.
 func NewShares(lifetime time.Duration) *Shares {
-	return &Shares{lifetime: lifetime, byWorkspace: map[string]*held{}}
+	return &Shares{lifetime: lifetime, byWorkspace: map[string]*workspaceShare{}}
 }
 
-// idleAfter is how long after its last request a workspace without a share is not reported
-// any more.
-const idleAfter = 30 * time.Second
+// idleTimeout is the time after its last request from which a workspace without a share is no longer
+// reported.
+const idleTimeout = 30 * time.Second
 
-// Take takes what a request costs from the share of its workspace, and reports whether it was
-// there. If not, the holder may be asked.
+// Take takes the cost of a request from the workspace's share, and reports whether the share was
+// sufficient. If it was not, the holder may be queried.
 func (s *Shares) Take(workspace string, cost float64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held(workspace, now)
+	h := s.refreshed(workspace, now)
 	h.asked += cost
 	h.requests++
 	h.heaviest = max(h.heaviest, cost)
 	h.totalAsked += cost
-	h.used = now
+	h.lastRequest = now
 	return h.Bucket.Take(cost)
 }
 
-// Refused notes that a request was refused for the limit.
+// Refused records that a request was refused because of the limit.
 func (s *Shares) Refused(workspace string, cost float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held(workspace, now)
+	h := s.refreshed(workspace, now)
 	h.refused += cost
 	h.totalRefused += cost
 }
 
-// GiveBack gives back what a request took that did not reach a server. What was taken longer
-// ago is not given back: it may have been gained anew meanwhile, and would be let run twice in
-// one window.
+// GiveBack returns the cost of a request that did not reach a server. It does nothing if the cost was
+// taken longer than giveBackWindow ago: the amount may have been gained again since, and would be
+// admitted twice in one window.
 func (s *Shares) GiveBack(workspace string, cost float64, taken, now time.Time) {
-	if now.Sub(taken) >= giveBackWithin {
+	if now.Sub(taken) >= giveBackWindow {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held(workspace, now)
+	h := s.refreshed(workspace, now)
 	h.level = min(h.level+cost, h.share.Saved)
 }
 
-// Report returns what to tell the holder: of all workspaces that were asked for of late, or of
-// which a share is held.
+// Report returns the report for the holder. It covers all workspaces with recent requests or with a
+// share.
 func (s *Shares) Report(now time.Time) []Use {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var uses []Use
 	for _, name := range slices.Sorted(maps.Keys(s.byWorkspace)) {
-		h := s.held(name, now)
-		if h.share == (Share{}) && h.surplus == 0 && now.Sub(h.used) > idleAfter {
+		h := s.refreshed(name, now)
+		if h.share == (Share{}) && h.surplus == 0 && now.Sub(h.lastRequest) > idleTimeout {
 			delete(s.byWorkspace, name)
 			continue
 		}
@@ -96,19 +97,22 @@
 		h.level -= unneeded
 		returned := unneeded + h.surplus
 		h.surplus = 0
-		uses = append(uses, Use{Workspace: name, Asked: h.asked, Requests: h.requests, Refused: h.refused, Heaviest: h.heaviest, Held: h.share, Level: h.level, Returned: returned})
+		uses = append(uses, Use{
+			Workspace: name, Asked: h.asked, Requests: h.requests, Refused: h.refused,
+			Heaviest: h.heaviest, Held: h.share, Level: h.level, Returned: returned,
+		})
 		h.asked, h.requests, h.refused, h.heaviest = 0, 0, 0, 0
 	}
 	return uses
 }
 
-// Unreported puts back what a report said that was not answered, but for what it returned: the
-// holder may have heard it.
+// Unreported restores the counts of a report that was not answered, except for the returned amounts,
+// since the holder may have received the report.
 func (s *Shares) Unreported(uses []Use, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range uses {
-		h := s.held(u.Workspace, now)
+		h := s.refreshed(u.Workspace, now)
 		h.asked += u.Asked
 		h.requests += u.Requests
 		h.refused += u.Refused
@@ -116,19 +120,19 @@
 	}
 }
 
-// Apply takes over what the holder lends in answer to a report that was sent at a time. It
-// says all: of a workspace that it does not name nothing is lent any more. What it grants is
-// lost if the answer took long, as where the machine was suspended: the holder has gained as
-// much again since.
+// Apply sets the shares to the loans in the holder's answer to a report that was sent at the given
+// time. The loans are complete: shares of workspaces that are not among them end. Grants are discarded
+// if the answer took longer than maxTransit, as after a suspension of the machine, because the holder
+// has gained the same amount again since.
 func (s *Shares) Apply(loans []Loan, sent, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	named := map[string]bool{}
 	for _, loan := range loans {
 		named[loan.Workspace] = true
-		h := s.held(loan.Workspace, now)
-		h.share, h.keep, h.until = loan.Share, loan.Keep, sent.Add(s.lifetime)
-		if now.Sub(sent) <= transit {
+		h := s.refreshed(loan.Workspace, now)
+		h.share, h.keep, h.expiresAt = loan.Share, loan.Keep, sent.Add(s.lifetime)
+		if now.Sub(sent) <= maxTransit {
 			h.level += loan.Grant
 		}
 		excess := max(0, h.level-loan.Share.Saved)
@@ -142,7 +146,7 @@
 	}
 }
 
-// Status is what an instance tells operators of a workspace.
+// Status is the state of one workspace for operators.
 type Status struct {
 	Workspace string
 	Held      Share
@@ -151,28 +155,30 @@
 	Asked, Refused float64
 }
 
-// Status returns the state of all workspaces that were asked for.
+// Status returns the state of all workspaces that have had requests.
 func (s *Shares) Status(now time.Time) []Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Status
 	for _, name := range slices.Sorted(maps.Keys(s.byWorkspace)) {
-		h := s.held(name, now)
-		list = append(list, Status{Workspace: name, Held: h.share, Level: h.level, Asked: h.totalAsked, Refused: h.totalRefused})
+		h := s.refreshed(name, now)
+		list = append(list, Status{
+			Workspace: name, Held: h.share, Level: h.level, Asked: h.totalAsked, Refused: h.totalRefused,
+		})
 	}
 	return list
 }
 
-// held needs mu. It returns a workspace's share as of now.
-func (s *Shares) held(workspace string, now time.Time) *held {
+// refreshed returns the workspace's share, expired or refilled as of now. s.mu must be held.
+func (s *Shares) refreshed(workspace string, now time.Time) *workspaceShare {
 	h := s.byWorkspace[workspace]
 	if h == nil {
-		h = &held{used: now}
+		h = &workspaceShare{lastRequest: now}
 		s.byWorkspace[workspace] = h
 	}
-	if !now.Before(h.until) {
+	if !now.Before(h.expiresAt) {
 		h.share, h.level, h.surplus = Share{}, 0, 0
 	}
-	h.Settle(h.share, now)
+	h.Refill(h.share, now)
 	return h
 }
--- a/command/quota/turns.go
+++ b/command/quota/turns.go
@@ -6,59 +6,59 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Turn says what is known of a request that asks for one send to a server that limits what it
-// takes.
+// Turn describes a request that asks to be sent to a server with a rate limit.
 type Turn struct {
-	// Spare: it can go to another server, or may be refused for load. It takes only what is
-	// above half of what may be saved up: the rest is for those that neither can nor may.
+	// Spare is set if the request can go to another server, or may be refused under load. Such a
+	// request is granted only from the upper half of the capacity; the lower half is kept for requests
+	// without an alternative.
 	Spare bool
-	// Waited: it was told when to ask again, and does.
+	// Waited is set if the request was told when to ask again, and now does so.
 	Waited bool
 }
 
 const (
-	// spareKeep is the part of what may be saved up that is kept from spare requests.
-	spareKeep = 0.5
-	// longestTurns bounds how far ahead turns are given: few clients wait longer.
-	longestTurns = 10 * time.Second
+	// spareReserve is the fraction of the capacity that is kept from spare requests.
+	spareReserve = 0.5
+	// maxTurnDelay bounds how far in the future turns are assigned. Few clients wait longer.
+	maxTurnDelay = 10 * time.Second
 )
 
-// AskInTurn answers a question for one send to a server, like Ask. Requests that have no other
-// server are told to ask again one after the other, at the times at which there will be
-// something for each: if all came back at the moment at which the first is let run, the others
-// would be refused again. What is promised to them is not given to those that come meanwhile.
+// AskInTurn answers a query for one send to a server, like Ask. Requests without an alternative server
+// are given different times at which to ask again, each the time at which the limit will suffice for
+// that request: if all asked again when the first can be granted, the others would be refused again.
+// What is promised to them is not granted to requests that arrive in the meantime.
 func (l *Lender) AskInTurn(server string, limit serving.Limit, t Turn, now time.Time) Answer {
 	a := l.account(server, limit, now)
-	l.settle(a, now)
-	promised := max(0, a.turns.Sub(now).Seconds()) * limit.Rate
+	l.refill(a, now)
+	promised := max(0, a.promisedUntil.Sub(now).Seconds()) * limit.Rate
 	needed := 1.0
 	switch {
 	case t.Spare:
-		needed = max(1+promised, 1+spareKeep*a.free.Saved)
+		needed = max(1+promised, 1+spareReserve*a.unlent.Saved)
 	case !t.Waited:
 		needed = 1 + promised
 	}
-	// Not all come back to whom turns were promised: what is full is let run.
-	if a.own.level >= min(needed, max(1, a.free.Saved)) && a.own.Take(1) {
+	// Some requests that were promised a turn never ask again, so a full reserve is always granted from.
+	if a.reserve.level >= min(needed, max(1, a.unlent.Saved)) && a.reserve.Take(1) {
 		return Answer{Granted: true, Known: true}
 	}
 	if !t.Spare && !t.Waited {
-		a.promise(limit, now)
+		a.reserveTurn(limit, now)
 	}
-	after := time.Duration(max(0, needed-a.own.level) / limit.Rate * float64(time.Second))
-	return Answer{Known: true, After: max(after+time.Millisecond, leastTurn)} // rounded up
+	after := time.Duration(max(0, needed-a.reserve.level) / limit.Rate * float64(time.Second))
+	return Answer{Known: true, After: max(after+time.Millisecond, minTurnDelay)} // rounded up to the next millisecond
 }
 
-// leastTurn is the shortest time after which a request asks again.
-const leastTurn = 20 * time.Millisecond
+// minTurnDelay is the shortest time after which a request is told to ask again.
+const minTurnDelay = 20 * time.Millisecond
 
-// promise gives the next turn away.
-func (a *account) promise(limit serving.Limit, now time.Time) {
-	if a.turns.Before(now) {
-		a.turns = now
+// reserveTurn assigns the next turn.
+func (a *account) reserveTurn(limit serving.Limit, now time.Time) {
+	if a.promisedUntil.Before(now) {
+		a.promisedUntil = now
 	}
-	next := a.turns.Add(time.Duration(float64(time.Second) / limit.Rate))
-	if next.Sub(now) <= longestTurns {
-		a.turns = next
+	next := a.promisedUntil.Add(time.Duration(float64(time.Second) / limit.Rate))
+	if next.Sub(now) <= maxTurnDelay {
+		a.promisedUntil = next
 	}
 }
