--- a/command/backpressure/alone.go
+++ b/command/backpressure/alone.go
@@ -9,78 +9,80 @@
 	"github.com/martenport/martenport/rendezvous"
 )
 
-// Alone is what an instance sends to limited servers while no holder lends: where a failure
-// domain is cut off, or the store is away and nobody can succeed a lost holder, servers that
-// limit what they take may be all that there is.
+// Alone limits what an instance sends to rate-limited servers while no holder lends. This happens when
+// a failure domain is cut off, or when the store is unavailable and a lost holder cannot be replaced;
+// rate-limited servers may then be the only ones available.
 //
-// The instances of the server's failure domain share what it takes without a word: some of them,
-// chosen by hash, gain equal parts of its rate. Others send it nothing. Each begins with nothing,
-// when all shares of the lost holder are over, and saves up one request. So all together send no
-// more than one each beyond the rate in a window, and there are sharers of them: with what the
-// holder lends that is 6 times the rate and 3 in 4 s, where 5 are allowed beyond that.
+// The instances of the server's failure domain divide its rate without communicating: some of them,
+// chosen by hash, gain equal parts of it, and the others send nothing. Each starts empty when all
+// shares of the lost holder have expired, and saves up at most one request. So in a window, all of them
+// together exceed the rate by at most one request each, and sharerCount bounds their number. Together
+// with what the holder has lent, that is at most 6 times the rate plus 3 requests in 4 s; the
+// deployment allows 6 times the rate plus 5.
 //
 // It is safe for concurrent use.
 type Alone struct {
 	self string
 
 	mu sync.Mutex
-	// parts has what there is of each server's; guarded by mu.
-	parts map[string]*quota.Bucket
+	// buckets has this instance's part of each server's rate, by server id; guarded by mu.
+	buckets map[string]*quota.Bucket
 }
 
-// sharers is how many of an instance's peers share a server that takes so many a second.
-func sharers(peers []string, rate float64) int { return min(len(peers), 2+int(rate)) }
+// sharerCount returns how many of the peers share a server with the given rate, in requests per second.
+func sharerCount(peers []string, rate float64) int { return min(len(peers), 2+int(rate)) }
 
-// NewAlone returns the account of the named instance.
-func NewAlone(self string) *Alone { return &Alone{self: self, parts: map[string]*quota.Bucket{}} }
+// NewAlone returns an empty Alone for the named instance.
+func NewAlone(self string) *Alone { return &Alone{self: self, buckets: map[string]*quota.Bucket{}} }
 
-// Lent notes that a holder has lent.
+// Lent records that a holder has lent shares.
 func (a *Alone) Lent() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	clear(a.parts)
+	clear(a.buckets)
 }
 
-// Take takes one send to a server from this instance's part of what it takes. lent is when a
-// holder last lent, and peers are the instances of the server's failure domain. If there is
-// nothing left, after is when there will be; 0 if this instance has no part.
+// Take takes one send to a server from this instance's part of the server's rate. lent is when a holder
+// last lent shares, and peers are the instances of the server's failure domain. If the send is not
+// possible now, after is the time until it will be; 0 if this instance has no part.
 func (a *Alone) Take(server string, rate float64, peers []string, lent, now time.Time) (ok bool, after time.Duration) {
-	n := sharers(peers, rate)
-	if !chosen(server, a.self, peers, n) {
+	n := sharerCount(peers, rate)
+	if !isSharer(server, a.self, peers, n) {
 		return false, 0
 	}
-	begins := lent.Add(time.Duration((1 + lifetimeSlack) * float64(lifetime)))
+	begins := lent.Add(time.Duration((1 + lifetimeSlack) * float64(shareLifetime)))
 	if now.Before(begins) {
 		return false, begins.Sub(now)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	share := quota.Share{Rate: LimitAt(rate).Rate / float64(n), Saved: 1}
-	part := a.parts[server]
-	if part == nil {
-		begun := quota.NewBucket(0, begins)
-		part = &begun
-		a.parts[server] = part
+	bucket := a.buckets[server]
+	if bucket == nil {
+		empty := quota.NewBucket(0, begins)
+		bucket = &empty
+		a.buckets[server] = bucket
 	}
-	part.Refill(share, now)
-	if part.Take(1) {
+	bucket.Refill(share, now)
+	if bucket.Take(1) {
 		return true, 0
 	}
-	return false, time.Duration((1 - part.Level()) / share.Rate * float64(time.Second))
+	return false, time.Duration((1 - bucket.Level()) / share.Rate * float64(time.Second))
 }
 
-// lifetimeSlack is the part by which shares of others may last longer than by this clock.
+// lifetimeSlack is the fraction by which other instances' shares may last longer than by this
+// instance's clock.
 const lifetimeSlack = 0.02
 
-// chosen reports whether an instance is one of the n of its peers that share a server.
-func chosen(server, self string, peers []string, n int) bool {
-	left := slices.Clone(peers)
+// isSharer reports whether an instance is one of the n peers that share a server.
+func isSharer(server, self string, peers []string, n int) bool {
+	candidates := slices.Clone(peers)
 	for range n {
-		best := rendezvous.Choose(server, left)
+		best := rendezvous.Choose(server, candidates)
 		if best == self {
 			return true
 		}
-		left = slices.DeleteFunc(left, func(name string) bool { return name == best })
+		candidates = slices.DeleteFunc(candidates, func(name string) bool { return name == best })
 	}
 	return false
 }
--- a/command/backpressure/backpressure.go
+++ b/command/backpressure/backpressure.go
@@ -1,14 +1,15 @@
-// Package backpressure keeps what backend servers say in answers of what they take: a limit of
-// requests a second from all instances together, and a rest in which one instance sends nothing.
-// It is pure: times are passed in, and nothing is sent.
+// Package backpressure keeps the load advisories that backend servers attach to their answers: a limit
+// on the requests per second from all instances together, and a retry-after period in which the receiving
+// instance must send nothing. It is pure: the current time is passed in, and nothing is sent.
 //
-// A word is of one process, and holds until a newer one of that process. Answers overtake each
-// other, so an answer is known to be newer than a word only if its request was sent after the
-// word had been read. Of two answers that cannot be ordered the stricter counts: an engine that
-// still needs its limit is not overrun, and one that does not says so in its next answer.
+// An advisory applies to one process, until a newer advisory of that process. Answers may overtake each
+// other, so an answer is known to be newer than an advisory only if its request was sent after the advisory
+// had been read. Of two answers that cannot be ordered, the stricter one applies: an engine that still
+// needs its limit is not overloaded, and one that no longer needs it repeats that in its next answer.
 //
-// Instances tell each other of limits, with ages and not with times: no two clocks are compared.
-// What was told may have been on its way for Transit, and counts as sent so much earlier.
+// Instances exchange limits as snapshots with ages instead of times, since clocks of different machines are
+// never compared. A snapshot may have been in transit for up to Transit, so its request counts as sent that
+// much earlier.
 package backpressure
 
 import (
@@ -17,21 +18,24 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Transit bounds how long it is on its way what one instance tells another: that of one call.
+// Transit bounds the time for which a snapshot is in transit between instances: the duration of one
+// call.
 const Transit = 500 * time.Millisecond
 
-// Limit is what is known of a server's limit, by the clock of this instance.
+// Limit is the known limit of a server. Its times are by this instance's clock.
 type Limit struct {
 	Server string
 	Born   int64
-	// Named: it takes Rate requests a second; else it takes what comes.
+	// Named is set if the server advertises a limit of Rate requests per second. Otherwise it accepts
+	// requests without a limit.
 	Named bool
 	Rate  float64
-	// The answer that says so was read at Heard, and its request sent at Sent.
+	// Sent is when the request was sent whose answer had the advisory, and Heard when that answer was
+	// read.
 	Sent, Heard time.Time
 }
 
-// Snapshot is a Limit as one instance tells another.
+// Snapshot is a Limit as sent to other instances, with ages instead of times.
 type Snapshot struct {
 	Server            string
 	Born              int64
@@ -40,23 +44,29 @@
 	SentAge, HeardAge time.Duration
 }
 
-// snapshot returns what another instance is told.
+// snapshot returns the limit as sent to other instances.
 func (l Limit) snapshot(now time.Time) Snapshot {
-	return Snapshot{Server: l.Server, Born: l.Born, Named: l.Named, Rate: l.Rate, SentAge: now.Sub(l.Sent), HeardAge: now.Sub(l.Heard)}
+	return Snapshot{
+		Server: l.Server, Born: l.Born, Named: l.Named, Rate: l.Rate,
+		SentAge: now.Sub(l.Sent), HeardAge: now.Sub(l.Heard),
+	}
 }
 
-// limit returns what was told, by this instance's clock.
-func (t Snapshot) limit(now time.Time) Limit {
-	return Limit{Server: t.Server, Born: t.Born, Named: t.Named, Rate: t.Rate, Sent: now.Add(-t.SentAge - Transit), Heard: now.Add(-t.HeardAge)}
+// limit returns a received snapshot by this instance's clock.
+func (s Snapshot) limit(now time.Time) Limit {
+	return Limit{
+		Server: s.Server, Born: s.Born, Named: s.Named, Rate: s.Rate,
+		Sent: now.Add(-s.SentAge - Transit), Heard: now.Add(-s.HeardAge),
+	}
 }
 
-// limitOf returns what a server's word says of its limit.
-func limitOf(w serving.Advisory) Limit {
-	return Limit{Server: w.Server, Born: w.Born, Named: w.Limited, Rate: w.Rate, Sent: w.Sent, Heard: w.Heard}
+// limitOf returns the limit in a server's advisory.
+func limitOf(a serving.Advisory) Limit {
+	return Limit{Server: a.Server, Born: a.Born, Named: a.Limited, Rate: a.Rate, Sent: a.Sent, Heard: a.Heard}
 }
 
-// replaces reports whether l is to be believed in place of what was known before.
-func (l Limit) replaces(known Limit) bool {
+// supersedes reports whether l replaces the known limit.
+func (l Limit) supersedes(known Limit) bool {
 	switch {
 	case serving.BornBefore(known.Born, l.Born):
 		return true
@@ -71,12 +81,12 @@
 	}
 }
 
-// stricter reports whether l lets less through than another.
+// stricter reports whether l allows fewer requests than other.
 func (l Limit) stricter(other Limit) bool {
 	return l.Named && (!other.Named || l.Rate < other.Rate)
 }
 
-// sameWord reports whether two limits say the same of the same process.
-func (l Limit) sameWord(other Limit) bool {
+// equivalent reports whether two limits of the same process have the same value.
+func (l Limit) equivalent(other Limit) bool {
 	return l.Born == other.Born && l.Named == other.Named && l.Rate == other.Rate
 }
--- a/command/backpressure/ledger.go
+++ b/command/backpressure/ledger.go
@@ -10,137 +10,145 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Ledger is what one instance knows of all servers. It is safe for concurrent use.
+// Ledger holds the advisories of all servers that one instance knows of. It is safe for concurrent use.
 type Ledger struct {
 	mu      sync.Mutex
 	entries map[string]*entry // by server id; guarded by mu
-	// change counts the changes of limits; guarded by mu.
-	change uint64
+	// revision counts the limits marked for sending to other instances: changes, and repeated
+	// withdrawals; guarded by mu.
+	revision uint64
 }
 
-// entry is what is known of one server.
+// entry is the state of one server.
 type entry struct {
 	limit Limit
-	// known: something was said of a limit; change is the last change of it.
-	known  bool
-	change uint64
-	// named is the rate that was last named, also after the server has ceased to.
-	named float64
-	// ended is when the answer was read after which it was not named any more.
-	ended time.Time
-	// lastAdvertised is when the request was sent whose answer others were last told of.
+	// known is set if there has been an advisory about a limit. revision is the ledger's revision at
+	// the last change of the limit.
+	known    bool
+	revision uint64
+	// lastRate is the last rate that was advertised. It is kept when the server no longer advertises a
+	// limit.
+	lastRate float64
+	// withdrawnAt is when the answer was read that no longer had a limit.
+	withdrawnAt time.Time
+	// lastAdvertised is when the request was sent whose answer was last marked for sending to other
+	// instances.
 	lastAdvertised time.Time
-	// retryAfter is until when the server wants nothing from this instance, asked by the process
-	// born then.
+	// retryAfter is the time until which the server accepts nothing from this instance. born is the
+	// start time of the process that asked for it.
 	retryAfter time.Time
 	born       int64
-	// unreadable is what could last not be read.
-	unreadable string
+	// lastUnreadable is the last text of an advisory that could not be parsed.
+	lastUnreadable string
 }
 
 // NewLedger returns an empty Ledger.
 func NewLedger() *Ledger { return &Ledger{entries: map[string]*entry{}} }
 
-// Change is what a word has changed.
+// Change describes what an advisory has changed.
 type Change struct {
-	// Limit: the limit is another, or there is none any more. RetryAfter: it asks for one, and was not
-	// resting. Unreadable: something else cannot be read than before.
+	// Limit is set if the limit changed or was withdrawn. RetryAfter is set if the server asks for a
+	// retry-after period and none was in effect. Unreadable is set if the advisory has a text that
+	// cannot be parsed and that differs from the last one.
 	Limit, RetryAfter, Unreadable bool
 }
 
-// Observe takes over what a server says.
-func (l *Ledger) Observe(w serving.Advisory, now time.Time) (c Change) {
+// Observe processes a server's advisory, and returns what it has changed.
+func (l *Ledger) Observe(a serving.Advisory, now time.Time) (c Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[w.Server]
+	e := l.entries[a.Server]
 	if e == nil {
-		if !w.Limited && w.RetryAfter == 0 && w.Unreadable == "" {
-			return c // most servers never say anything
+		if !a.Limited && a.RetryAfter == 0 && a.Unreadable == "" {
+			return c // most servers never send advisories
 		}
-		e = l.add(w.Server)
+		e = l.add(a.Server)
 	}
-	if !w.LimitUnknown {
-		c.Limit = l.updateLimit(e, limitOf(w))
-		l.repeatEnd(e, limitOf(w), now)
+	if !a.LimitUnknown {
+		c.Limit = l.updateLimit(e, limitOf(a))
+		l.readvertiseWithdrawal(e, limitOf(a), now)
 	}
-	c.RetryAfter = e.observeRetryAfter(w, now)
-	if w.Unreadable != "" && w.Unreadable != e.unreadable {
-		c.Unreadable, e.unreadable = true, w.Unreadable
+	c.RetryAfter = e.observeRetryAfter(a, now)
+	if a.Unreadable != "" && a.Unreadable != e.lastUnreadable {
+		c.Unreadable, e.lastUnreadable = true, a.Unreadable
 	}
 	return c
 }
 
-// l.mu must be held.
+// add adds an empty entry for a server. l.mu must be held.
 func (l *Ledger) add(server string) *entry {
 	e := &entry{}
 	l.entries[server] = e
 	return e
 }
 
-// updateLimit takes a limit over unless a newer one is known, and reports whether that changes
-// anything. l.mu must be held.
+// updateLimit sets the limit unless a newer one is known, and reports whether that changed anything.
+// l.mu must be held.
 func (l *Ledger) updateLimit(e *entry, limit Limit) bool {
 	if !e.known && !limit.Named {
 		return false
 	}
-	if e.known && e.limit.sameWord(limit) {
+	if e.known && e.limit.equivalent(limit) {
 		if limit.Heard.After(e.limit.Heard) {
 			e.limit.Sent, e.limit.Heard = limit.Sent, limit.Heard
 		}
 		return false
 	}
-	if e.known && !limit.replaces(e.limit) {
+	if e.known && !limit.supersedes(e.limit) {
 		return false
 	}
 	if e.limit.Named && !limit.Named {
-		e.ended = limit.Heard
+		e.withdrawnAt = limit.Heard
 	}
 	e.limit, e.known = limit, true
 	if limit.Named {
-		e.named = limit.Rate
+		e.lastRate = limit.Rate
 	}
 	l.markChanged(e)
 	return true
 }
 
-// markChanged has others be told of a server's limit. l.mu must be held.
+// markChanged records a change of a server's limit that has to be sent to other instances. l.mu must be
+// held.
 func (l *Ledger) markChanged(e *entry) {
-	l.change++
-	e.change, e.lastAdvertised = l.change, e.limit.Sent
+	l.revision++
+	e.revision, e.lastAdvertised = l.revision, e.limit.Sent
 }
 
-// repeatEvery is how often others are told again that a server names no limit any more.
-const repeatEvery = time.Second
+// readvertiseInterval is how often other instances are informed again that a server has withdrawn its
+// limit.
+const readvertiseInterval = time.Second
 
-// repeatEnd has others be told again for a while that a limit is over, by newer answers: they may
-// have heard of it so late that they could not tell which word was the newer one. l.mu must be
-// held.
-func (l *Ledger) repeatEnd(e *entry, limit Limit, now time.Time) {
-	if !e.known || e.limit.Named || limit.Named || limit.Sent.Sub(e.lastAdvertised) < repeatEvery {
+// readvertiseWithdrawal has other instances informed again, for a while and by newer answers, that a limit was
+// withdrawn. They may have received the limit so late that they could not tell which advisory was
+// newer. l.mu must be held.
+func (l *Ledger) readvertiseWithdrawal(e *entry, limit Limit, now time.Time) {
+	if !e.known || e.limit.Named || limit.Named || limit.Sent.Sub(e.lastAdvertised) < readvertiseInterval {
 		return
 	}
-	if _, accounted := e.account(now); accounted {
+	if _, ok := e.accountingRate(now); ok {
 		l.markChanged(e)
 	}
 }
 
-// observeRetryAfter notes until when the server wants nothing. Of several such times the last one
-// counts: a server that asks for a shorter one later has
-// not taken the longer one back. The ledger's mu must be held.
-func (e *entry) observeRetryAfter(w serving.Advisory, now time.Time) bool {
-	if serving.BornBefore(e.born, w.Born) {
+// observeRetryAfter records the retry-after period of an advisory, and reports whether one begins. Of
+// several periods the one that ends last applies, since a server that later asks for a shorter one has
+// not withdrawn the longer one. The ledger's mu must be held.
+func (e *entry) observeRetryAfter(a serving.Advisory, now time.Time) bool {
+	if serving.BornBefore(e.born, a.Born) {
 		e.retryAfter = time.Time{}
 	}
-	until := w.Heard.Add(w.RetryAfter)
-	if w.RetryAfter == 0 || serving.BornBefore(w.Born, e.born) || !until.After(e.retryAfter) || !until.After(now) {
+	until := a.Heard.Add(a.RetryAfter)
+	if a.RetryAfter == 0 || serving.BornBefore(a.Born, e.born) || !until.After(e.retryAfter) || !until.After(now) {
 		return false
 	}
-	resting := e.retryAfter.After(now)
-	e.retryAfter, e.born = until, w.Born
-	return !resting
+	active := e.retryAfter.After(now)
+	e.retryAfter, e.born = until, a.Born
+	return !active
 }
 
-// Limit returns how many requests a second a server takes; limited is false if it does not say.
+// Limit returns how many requests per second a server accepts; limited is false if it advertises no
+// limit.
 func (l *Ledger) Limit(s serving.Server) (rate float64, limited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,13 +159,13 @@
 	return e.limit.Rate, true
 }
 
-// accountFor is how long the account of what a server got goes on after it has ceased to name a
-// limit: if it names one again, it must not begin with all that may be saved up. It is longer
-// than a limit's window.
-const accountFor = 10 * time.Second
+// accountingRetention is how long the sends to a server are still accounted for after it has withdrawn
+// its limit: if it advertises one again, the accounting must not restart with the full saved-up amount.
+// It is longer than a limit's window.
+const accountingRetention = 10 * time.Second
 
-// Account returns the rate by which it is accounted what the server with an id gets: that of its
-// limit, or for accountFor of the one that it has ceased to name. ok is false if there is none.
+// Account returns the rate by which sends to the server with the given id are accounted for: that of
+// its limit, or for accountingRetention that of a withdrawn limit. ok is false if there is none.
 func (l *Ledger) Account(id string, now time.Time) (rate float64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,19 +173,19 @@
 	if e == nil {
 		return 0, false
 	}
-	return e.account(now)
+	return e.accountingRate(now)
 }
 
-// The ledger's mu must be held.
-func (e *entry) account(now time.Time) (rate float64, ok bool) {
-	if !e.known || !e.limit.Named && now.Sub(e.ended) > accountFor {
+// accountingRate implements Account. The ledger's mu must be held.
+func (e *entry) accountingRate(now time.Time) (rate float64, ok bool) {
+	if !e.known || !e.limit.Named && now.Sub(e.withdrawnAt) > accountingRetention {
 		return 0, false
 	}
-	return e.named, true
+	return e.lastRate, true
 }
 
-// RetryAfterUntil returns until when a server wants nothing from this instance; the zero time if it
-// has not asked for a rest.
+// RetryAfterUntil returns the time until which a server accepts nothing from this instance; the zero
+// time if it has not asked for a retry-after period.
 func (l *Ledger) RetryAfterUntil(s serving.Server) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,9 +196,9 @@
 	return e.retryAfter
 }
 
-// Snapshot returns what is known of a server's limit, to tell another instance; known is false if
-// nothing is.
-func (l *Ledger) Snapshot(id string, now time.Time) (told Snapshot, known bool) {
+// Snapshot returns a server's limit for another instance; known is false if there has been no advisory
+// about a limit.
+func (l *Ledger) Snapshot(id string, now time.Time) (snapshot Snapshot, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[id]
@@ -200,44 +208,47 @@
 	return e.limit.snapshot(now), true
 }
 
-// Since returns the limits that changed after a change, and the change up to which they go.
-func (l *Ledger) Since(change uint64, now time.Time) (list []Snapshot, upTo uint64) {
+// Since returns the limits that have changed after the given revision, sorted by server, and the
+// current revision.
+func (l *Ledger) Since(revision uint64, now time.Time) (list []Snapshot, current uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if change == l.change {
-		return nil, l.change
+	if revision == l.revision {
+		return nil, l.revision
 	}
 	for _, e := range l.entries {
-		if e.known && e.change > change {
+		if e.known && e.revision > revision {
 			list = append(list, e.limit.snapshot(now))
 		}
 	}
 	slices.SortFunc(list, func(a, b Snapshot) int { return cmp.Compare(a.Server, b.Server) })
-	return list, l.change
+	return list, l.revision
 }
 
-// Take takes over what another instance tells, and returns what that changes.
+// Take merges snapshots of another instance, and returns the limits that changed.
 func (l *Ledger) Take(list []Snapshot, now time.Time) (changed []Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, t := range list {
-		e := l.entries[t.Server]
+	for _, s := range list {
+		e := l.entries[s.Server]
 		if e == nil {
-			if !t.Named {
+			if !s.Named {
 				continue
 			}
-			e = l.add(t.Server)
+			e = l.add(s.Server)
 		}
-		limit := t.limit(now)
+		limit := s.limit(now)
 		if l.updateLimit(e, limit) {
 			changed = append(changed, limit)
 		}
-		l.repeatEnd(e, limit, now) // who was told in turn may have doubted it, too
+		// Instances that got the limit from this one may not have been able to order it either.
+		l.readvertiseWithdrawal(e, limit, now)
 	}
 	return changed
 }
 
-// Count returns how many servers name a limit, and how many want nothing from this instance.
+// Count returns the number of servers that advertise a limit, and of those that accept nothing from
+// this instance because of a retry-after period.
 func (l *Ledger) Count(now time.Time) (limited, resting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -252,16 +263,16 @@
 	return limited, resting
 }
 
-// Sweep forgets servers that are not known any more, once their last word is old.
+// Sweep removes servers that are no longer known once their last advisory is older than entryRetention.
 func (l *Ledger) Sweep(known func(id string) bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	maps.DeleteFunc(l.entries, func(id string, e *entry) bool {
-		old := now.Sub(e.limit.Heard) > forgetAfter && now.Sub(e.retryAfter) > forgetAfter
-		return old && !known(id)
+		expired := now.Sub(e.limit.Heard) > entryRetention && now.Sub(e.retryAfter) > entryRetention
+		return expired && !known(id)
 	})
 }
 
-// forgetAfter is how long what a server said is kept after it is gone: its entry may lapse and
-// be back.
-const forgetAfter = time.Minute
+// entryRetention is how long a server's advisories are kept after the server has gone: its directory
+// entry may lapse and return.
+const entryRetention = time.Minute
--- a/command/backpressure/limits.go
+++ b/command/backpressure/limits.go
@@ -7,44 +7,47 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// What a server gets that limits what it takes is lent to instances like the limit of a
-// workspace (package quota). The deployment allows 1.5 times as much as it names, and 5 requests,
-// in a window, over all instances. A part of that is lent, and the rest left for instances that
-// have no holder (Alone): while one is lost, they may let run what it has let be saved up, too.
+// The limit of a server is lent to instances like the limit of a workspace (package quota). In a window,
+// and over all instances, the deployment allows 1.5 times the advertised rate plus 5 requests. A part of
+// that is lent, and the rest is left for instances without a holder (Alone): while the holder is lost,
+// instances may also use what they have saved up from its shares.
 const (
 	window  = 4 * time.Second
 	overage = 0.25
 	slack   = 1
-	// lifetime of a share without another word of the holder: instances report several times
-	// in it. What they may take without a holder begins when the last share is over.
-	lifetime = 2 * time.Second
+	// shareLifetime is the lifetime of a share without confirmation by the holder; instances report
+	// several times within it. What they may take without a holder begins when the last share has
+	// expired.
+	shareLifetime = 2 * time.Second
 )
 
-// leastRate is the rate that is used of a limit that is lower, and 0 above all: one request in
-// five seconds, by which it is learned that the limit is over. That is within what the
-// deployment allows of any limit.
-const leastRate = 0.2
+// minRate is the rate used for limits that are lower, in particular for 0: one request in five seconds,
+// which detects that the limit was withdrawn. The deployment allows that much for any limit.
+const minRate = 0.2
 
 const (
-	// spareAsks is how many spare requests of all instances ask for each one that a server takes.
-	spareAsks = 2
-	// longestSpare bounds how long an instance sends no spare request to a limited server.
-	longestSpare = 30 * time.Second
+	// spareAsksPerGrant is the number of spare requests, over all instances, that ask for each one that
+	// a server accepts.
+	spareAsksPerGrant = 2
+	// maxSpareDelay bounds the time for which an instance sends no spare request to a rate-limited
+	// server.
+	maxSpareDelay = 30 * time.Second
 )
 
-// SpareAgain returns after which time an instance asks again for a spare request that was refused,
-// where it was told that there may be something after a time. All instances ask for the same: if
-// each did at that time, a holder of 195 instances would be asked 130 times for each request that a
-// server takes.
-func SpareAgain(rate float64, instances int, told time.Duration) time.Duration {
-	turn := time.Duration(float64(instances) / (spareAsks * LimitAt(rate).Rate) * float64(time.Second))
-	return max(told, min(longestSpare, turn))
+// SpareAgain returns the time after which an instance asks again for a spare request that was refused.
+// minDelay is the time from which the holder expects to have something to grant. All instances ask for
+// the same amount: if each asked at that time, a holder with 195 instances would be asked 130 times for
+// each request that a server accepts.
+func SpareAgain(rate float64, instances int, minDelay time.Duration) time.Duration {
+	interval := time.Duration(float64(instances) / (spareAsksPerGrant * LimitAt(rate).Rate) * float64(time.Second))
+	return max(minDelay, min(maxSpareDelay, interval))
 }
 
-// QuotaParams says how limits of servers are lent.
+// QuotaParams returns the parameters by which limits of servers are lent.
 func QuotaParams() quota.Params {
-	return quota.Params{Window: window, Overage: overage, Slack: slack, Lifetime: lifetime}
+	return quota.Params{Window: window, Overage: overage, Slack: slack, Lifetime: shareLifetime}
 }
 
-// LimitAt returns the limit that is lent of a server that takes so many requests a second.
-func LimitAt(rate float64) serving.Limit { return serving.Limit{Rate: max(leastRate, rate)} }
+// LimitAt returns the limit that is lent for a server that accepts the given number of requests per
+// second.
+func LimitAt(rate float64) serving.Limit { return serving.Limit{Rate: max(minRate, rate)} }
--- a/command/backpressure/questions.go
+++ b/command/backpressure/questions.go
@@ -7,34 +7,35 @@
 	"github.com/martenport/martenport/command/quota"
 )
 
-// Questions bounds how often instances ask the holder for single sends: where all servers of a busy
-// service limit what they take, each request would ask, and a holder that has no processor time left
-// for its other work is lost to all. It is safe for concurrent use.
+// Questions bounds the rate at which instances query the holder for single sends. If all servers of a
+// busy service are rate-limited, every request would query the holder, and a holder without processor
+// time for its other work is lost to all instances. It is safe for concurrent use.
 type Questions struct {
-	mu    sync.Mutex
-	saved quota.Bucket // guarded by mu
-	begun bool         // guarded by mu
+	mu      sync.Mutex
+	bucket  quota.Bucket // guarded by mu
+	started bool         // guarded by mu
 }
 
 const (
-	// allQuestions is how many a second all instances together may ask: each takes some 30 us of the
-	// holder's processor time, which has .8 of a core where it is large.
-	allQuestions = 2000
-	// questionsFor is for how long an instance may save up questions.
-	questionsFor = 500 * time.Millisecond
-	// leastQuestions is how many it may save up at least.
-	leastQuestions = 4
+	// totalQueryRate is the number of queries per second from all instances together. Each takes about
+	// 30 us of processor time at the holder, which has 0.8 of a core in large deployments.
+	totalQueryRate = 2000
+	// queryBurstDuration is the time for which an instance may save up queries.
+	queryBurstDuration = 500 * time.Millisecond
+	// minQueryBurst is the minimum number of queries that an instance may save up.
+	minQueryBurst = 4
 )
 
-// Take takes one question of this instance's part, one of so many.
+// Take takes one query from this instance's part of the total rate, which is divided equally among the
+// given number of instances. It reports whether the query may be sent.
 func (q *Questions) Take(instances int, now time.Time) bool {
-	part := quota.Share{Rate: allQuestions / float64(max(1, instances))}
-	part.Saved = max(leastQuestions, part.Rate*questionsFor.Seconds())
+	share := quota.Share{Rate: totalQueryRate / float64(max(1, instances))}
+	share.Saved = max(minQueryBurst, share.Rate*queryBurstDuration.Seconds())
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.begun {
-		q.saved, q.begun = quota.NewBucket(part.Saved, now), true
+	if !q.started {
+		q.bucket, q.started = quota.NewBucket(share.Saved, now), true
 	}
-	q.saved.Refill(part, now)
-	return q.saved.Take(1)
+	q.bucket.Refill(share, now)
+	return q.bucket.Take(1)
 }
