--- a/command/forward/access.go
+++ b/command/forward/access.go
@@ -10,48 +10,50 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// Access says who may ask, and how much.
+// Access authorizes requests by their keys and enforces the limits of workspaces.
 type Access interface {
-	// Current returns the configuration in force, nil before the first, and how current it is
+	// Current returns the configuration in force, nil before there is one, and how current it is
 	// known to be.
 	Current() (*serving.Config, access.Knowledge)
-	// Policy is how long what is known of keys is relied on.
+	// Policy returns for how long knowledge about keys is relied on.
 	Policy() access.Policy
-	// Draw takes what a request costs from the limit of its workspace. giveBack is called if
-	// the request did not reach a server. A failure says why it may not run.
-	Draw(ctx context.Context, w *serving.Workspace, cost float64) (giveBack func(), failure *verdict.Failure)
+	// Draw deducts the cost of a request from the limit of its workspace. refund must be called if
+	// the request did not reach a server. A failure states why the request may not run.
+	Draw(ctx context.Context, w *serving.Workspace, cost float64) (refund func(), failure *verdict.Failure)
 }
 
-// admission is a request's leave to run, or what it was refused by.
+// admission is the result of authorizing a request, together with the configuration it was
+// authorized by.
 type admission struct {
 	config *serving.Config
-	known  access.Knowledge
-	// route has the rank of the workspace, if that has one.
+	// freshness is how current config is known to be.
+	freshness access.Knowledge
+	// route carries the priority of the workspace, if the workspace has one.
 	route *serving.Route
-	// workspace is nil where the request needs no key, or has none that is known.
+	// workspace is nil if the request needs no key or its key is unknown.
 	workspace *serving.Workspace
-	giveBack  func()
+	// refund returns what was drawn from the limit of the workspace.
+	refund func()
 }
 
-// admit decides whether a request for a route may run, by its key and the limit of its
-// workspace.
+// admit decides by the key and the limit of its workspace whether a request for a route may run.
 func (f *Forwarder) admit(ctx context.Context, a admission, r *serving.Request) (admission, *verdict.Failure) {
-	a.giveBack = func() {}
-	workspace, failure := access.Decide(a.config, a.route, r.Credential, a.known, f.access.Policy())
+	a.refund = func() {}
+	workspace, failure := access.Decide(a.config, a.route, r.Credential, a.freshness, f.access.Policy())
 	if failure != nil || workspace == nil {
 		return a, failure
 	}
-	a.workspace, a.route = workspace, ranked(a.route, workspace)
+	a.workspace, a.route = workspace, withWorkspacePriority(a.route, workspace)
 	cost, err := workspace.Limit.Cost(r)
 	if err != nil && workspace.Limit.Limited() {
 		return a, verdict.Refuse(verdict.ReasonInvalid, "%v", err)
 	}
-	a.giveBack, failure = f.access.Draw(ctx, workspace, cost)
+	a.refund, failure = f.access.Draw(ctx, workspace, cost)
 	return a, failure
 }
 
-// ranked returns the route with the rank that the workspace's requests have.
-func ranked(route *serving.Route, w *serving.Workspace) *serving.Route {
+// withWorkspacePriority returns the route with the priority of the workspace, if that has one.
+func withWorkspacePriority(route *serving.Route, w *serving.Workspace) *serving.Route {
 	if !w.Ranked || w.Priority == route.Priority {
 		return route
 	}
@@ -60,11 +62,11 @@
 	return &ranked
 }
 
-// notAdmitted logs and counts a request that may not run.
-func (f *Forwarder) notAdmitted(a admission, r *serving.Request, failure *verdict.Failure) *verdict.Failure {
-	f.counts.end(failure, 0)
+// recordRejection logs and counts a request that may not run.
+func (f *Forwarder) recordRejection(a admission, r *serving.Request, failure *verdict.Failure) *verdict.Failure {
+	f.counts.requestEnded(failure, 0)
 	fields := logrus.Fields{
-		"request": r.ID, "route": a.route.Name, "config": a.config.Version, "config_age_ms": a.known.Age.Milliseconds(), "verdict": failure.Verdict,
+		"request": r.ID, "route": a.route.Name, "config": a.config.Version, "config_age_ms": a.freshness.Age.Milliseconds(), "verdict": failure.Verdict,
 		"reason": failure.Reason, "retry_after_ms": failure.RetryAfter.Milliseconds(), "ms": 0, "priority": a.route.Priority,
 	}
 	if name := a.workspaceName(); name != "" {
@@ -74,7 +76,7 @@
 	return failure
 }
 
-// workspaceName returns "" if there is no workspace.
+// workspaceName returns the name of the workspace, or "" if there is none.
 func (a admission) workspaceName() string {
 	if a.workspace == nil {
 		return ""
--- a/command/forward/access_test.go
+++ b/command/forward/access_test.go
@@ -13,31 +13,31 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// fakeAccess knows the directory's configuration, and lets everything run up to its limit.
+// fakeAccess uses the configuration of the directory, and admits requests up to a limit.
 type fakeAccess struct {
 	dir    *directory.Directory
 	known  access.Knowledge
 	policy access.Policy
-	// left is what the workspace may still ask for; drawn and given what was taken and came
-	// back.
-	left, drawn, given float64
+	// remaining is what the workspace may still spend, drawn the sum of what was drawn, and
+	// returned the sum of what was refunded.
+	remaining, drawn, returned float64
 }
 
 func (f *fakeAccess) Current() (*serving.Config, access.Knowledge) { return f.dir.Config(), f.known }
 func (f *fakeAccess) Policy() access.Policy                        { return f.policy }
 func (f *fakeAccess) Draw(_ context.Context, w *serving.Workspace, cost float64) (func(), *verdict.Failure) {
-	if f.left < cost {
+	if f.remaining < cost {
 		return nil, verdict.Refuse(verdict.ReasonOverLimit, "workspace %s", w.Name).After(time.Second)
 	}
-	f.left -= cost
+	f.remaining -= cost
 	f.drawn += cost
-	return func() { f.given += cost }, nil
+	return func() { f.returned += cost }, nil
 }
 
 const testKey = "a secret of its own"
 
-// guard has requests need keys, but for those of the route "safe".
-func (f *fixture) guardRoutes(t *testing.T) {
+// requireKeys applies a configuration in which all routes except "safe" need a key.
+func (f *fixture) requireKeys(t *testing.T) {
 	t.Helper()
 	config := *f.dir.Config()
 	config.Version++
@@ -56,6 +56,7 @@
 	f.dir.ApplyConfig(&config)
 }
 
+// keyed returns a request on a route with a credential.
 func keyed(route string, key serving.Credential) *serving.Request {
 	return &serving.Request{
 		ID: "r1", Method: http.MethodPost, Host: "h", Target: "/" + route + "/x", Header: http.Header{}, Arrived: time.Now(),
@@ -63,9 +64,10 @@
 	}
 }
 
-// TestWorkspaceOfRequest: a request runs as its workspace's, with its rank; what did not reach
-// a server is given back; and one that may not run meets no server.
-func TestWorkspaceOfRequest(t *testing.T) {
+// TestRequestWorkspace: a request runs with the name and the priority of its workspace, a draw is
+// refunded if the request did not reach a server, and a request without permission is not sent to
+// any server.
+func TestRequestWorkspace(t *testing.T) {
 	key := serving.Credential{Form: serving.KeyGiven, Digest: serving.DigestKey(testKey)}
 	other := serving.Credential{Form: serving.KeyGiven, Digest: serving.DigestKey("another")}
 	sized := keyed("unsafe", key)
@@ -75,7 +77,7 @@
 	for name, c := range map[string]struct {
 		request     *serving.Request
 		reply       reply
-		left        float64
+		limit       float64
 		reason      verdict.Reason
 		workspace   string
 		drawn, back float64
@@ -91,14 +93,14 @@
 		"public, with key": {keyed("safe", key), reply{status: 200}, 0, "", "", 0, 0},
 	} {
 		f := newFixture(t, c.reply)
-		f.guardRoutes(t)
-		f.access.left = c.left
+		f.requireKeys(t)
+		f.access.remaining = c.limit
 		failure := f.forwarder.Serve(t.Context(), c.request, httptest.NewRecorder())
 		if got := failureReason(failure); got != c.reason {
 			t.Errorf("%s: %v, want reason %q", name, failure, c.reason)
 		}
-		if f.access.drawn != c.drawn || f.access.given != c.back {
-			t.Errorf("%s: %v drawn and %v given back, want %v and %v", name, f.access.drawn, f.access.given, c.drawn, c.back)
+		if f.access.drawn != c.drawn || f.access.returned != c.back {
+			t.Errorf("%s: %v drawn and %v given back, want %v and %v", name, f.access.drawn, f.access.returned, c.drawn, c.back)
 		}
 		refused := c.reason != "" && c.reason != verdict.ReasonBackend
 		if refused != (len(f.servers.attempts) == 0) {
--- a/command/forward/budget.go
+++ b/command/forward/budget.go
@@ -9,209 +9,213 @@
 
 // BudgetParams bound the repeated sends of all instances together.
 type BudgetParams struct {
-	// Ratio is the part of a service's requests that may be sent once more,
-	// and Extra how many beyond it, within Window, over all instances.
+	// Ratio is the fraction of a service's requests that may be sent again within Window, and Extra
+	// the number of repeated sends allowed beyond that. Both apply to the sum over all instances.
 	Ratio, Extra float64
 	Window       time.Duration
-	// Domains is how many failure domains have an equal part of Extra each.
+	// Domains is the number of failure domains among which Extra is divided equally.
 	Domains int
 }
 
-// Parts of the bound, see Budget.
+// Fractions of the bound, see Budget.
 const (
-	// gained is the part that is gained within a window: a service in trouble for long
-	// gets that much of it in each.
-	gained = 0.5
-	// whole is the part that is used up within a window at the most: what was saved up
-	// before it and what is gained for it.
-	whole = 0.995
-	// lateness is how late requests may be noted here and draws may arrive at a backend
-	// server, together: a connection takes 0.8 s at most, and a draw is sent within
-	// prepaidFor. It is a time, whatever the window: allowed for as a part of 10 s it let
-	// 5 in 100 too many arrive in windows of 4 s.
-	lateness = 1500 * time.Millisecond
-	// shared is the part of Extra that is shared out. The rest is for shares that add
-	// up to more while instances learn of a new one.
-	shared = 0.95
-	// rounding is less than any repeat: gains are sums of fractions.
-	rounding = 1e-6
+	// accrualFraction is the fraction of the bound that accrues per window. A service that fails
+	// for a long time can spend this much in every window.
+	accrualFraction = 0.5
+	// boundFraction is the fraction of the bound that can be spent within one window at most: what
+	// was saved before the window plus what accrues for it.
+	boundFraction = 0.995
+	// maxDelay is the maximum sum of the delay with which requests are recorded here and the delay
+	// with which drawn sends arrive at a backend server: a connection takes at most 0.8 s, and a
+	// send is made within drawValidity after its draw. It does not depend on the window: as a
+	// fraction that suits a window of 10 s it allowed 5% too many arrivals in windows of 4 s.
+	maxDelay = 1500 * time.Millisecond
+	// sharedFraction is the fraction of Extra that is divided among instances. The rest covers
+	// shares that add up to more than the total while instances learn of a new one.
+	sharedFraction = 0.95
+	// roundingError is the tolerance for the sums of fractions that accrue; it is less than one
+	// repeated send.
+	roundingError = 1e-6
 )
 
-// Budget is one instance's share of the repeated sends to each service.
+// Budget is one instance's share of the repeated sends to each service, kept in a token bucket for
+// each service.
 //
-// The bound is on the sum over all instances, and no instance knows what others, or
-// an earlier process on its machine, have spent. So an account begins empty, and
-// whatever is forgotten makes it smaller: an account that began full would have each
-// restart spend the share again. The account of a service gains gained x Ratio with
-// each request and gained x share with each Window, and has at most saved x (Ratio x
-// requests remembered + share). What arrives within a Window was drawn in it or late
-// before it, so that the processes of one machine have at most what they had then and
-// gained since:
+// The bound applies to the sum over all instances, and no instance knows what the others, or an
+// earlier process on its machine, have spent. Therefore a bucket starts empty, and lost state only
+// makes it smaller: if buckets started full, each restart would spend the share again. The bucket
+// of a service gains accrualFraction x Ratio with each request and accrualFraction x extraShare in
+// each Window, and holds at most capacityFraction x (Ratio x requests remembered + extraShare). A
+// send that arrives within a Window was drawn in it or at most maxDelay before it. So the processes
+// of one machine can spend at most what their bucket held then plus what has accrued since:
 //
-//	saved x (Ratio x requests before + share) + gained x (Ratio x requests since + share x (1 + lateness / Window))
+//	capacityFraction x (Ratio x requests before + extraShare) +
+//	accrualFraction x (Ratio x requests since + extraShare x (1 + maxDelay / Window))
 //
-// All these requests were made in the Window or in the one before it, since those of the
-// last Window - lateness are remembered. Neither part is above one half, so the sum over
-// all machines is at most Ratio x the larger count of the two windows + whole x all
-// shares, and these add up to shared x Extra.
+// All these requests were made in the Window or in the one before it, since the requests of the
+// last Window - maxDelay are remembered. Neither fraction exceeds one half, so the sum over all
+// machines is at most Ratio x the larger request count of the two windows + boundFraction x all
+// shares, and these add up to sharedFraction x Extra.
 type Budget struct {
-	mu       sync.Mutex
-	began    time.Time
-	params   BudgetParams        // guarded by mu
-	services map[string]*account // guarded by mu
-	// unused is the account of a service without requests so far; guarded by mu.
-	unused account
-	// instances share the part of this failure domain; 0 while that number is not
-	// known; guarded by mu.
+	mu      sync.Mutex
+	created time.Time
+	params  BudgetParams       // guarded by mu
+	buckets map[string]*bucket // guarded by mu
+	// idle is the bucket of a service that has had no requests so far; guarded by mu.
+	idle bucket
+	// instances is the number of instances that share the part of this failure domain; 0 if
+	// unknown; guarded by mu.
 	instances int
 }
 
-// account is what may be spent on repeated sends to a service, as of settled.
-type account struct {
+// bucket holds what may be spent on repeated sends to a service, as calculated at updated.
+type bucket struct {
 	level   float64
-	settled time.Time
-	// requests are those remembered and repeats those of the last window, in the
-	// order of time.
+	updated time.Time
+	// requests are the times of the requests that are remembered, and repeats those of the repeated
+	// sends of the last window, both in chronological order.
 	requests, repeats []time.Time
 }
 
-// NewBudget returns a budget in which nothing has been gained.
+// NewBudget returns a budget with empty buckets.
 func NewBudget(p BudgetParams) *Budget {
-	return &Budget{began: clock.Now(), params: p, services: map[string]*account{}}
+	return &Budget{created: clock.Now(), params: p, buckets: map[string]*bucket{}}
 }
 
-// SetParams puts other bounds in force.
+// SetParams replaces the parameters from now on.
 func (b *Budget) SetParams(p BudgetParams, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.settleAll(now)
+	b.refillAll(now)
 	b.params = p
 }
 
-// SetInstances sets by how many instances the part of this failure domain is shared.
-// While that is not known, 0, there is no share of Extra: a guess that is too small
-// would have all instances together take more than there is.
+// SetInstances sets the number of instances that share the part of this failure domain. While it is
+// unknown (0), this instance has no share of Extra: if the number were underestimated, all
+// instances together would spend more than Extra.
 func (b *Budget) SetInstances(n int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n == b.instances {
 		return
 	}
-	b.settleAll(now)
+	b.refillAll(now)
 	b.instances = n
 }
 
-// Request notes a request for a service.
-func (b *Budget) Request(service string, now time.Time) {
+// RecordRequest records a request for a service.
+func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.account(service, now)
-	a.requests = append(a.requests, now)
-	a.level = min(a.level+gained*b.params.Ratio, b.most(a))
+	bkt := b.bucket(service, now)
+	bkt.requests = append(bkt.requests, now)
+	bkt.level = min(bkt.level+accrualFraction*b.params.Ratio, b.capacity(bkt))
 }
 
-// Take reports whether one more send of a request is within the budget, and spends
-// it if so.
+// Take reports whether the budget allows one more send of a request, and spends it if so.
 func (b *Budget) Take(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.account(service, now)
-	if a.level < 1-rounding {
+	bkt := b.bucket(service, now)
+	if bkt.level < 1-roundingError {
 		return false
 	}
-	a.level = max(0, a.level-1)
-	a.repeats = append(a.repeats, now)
+	bkt.level = max(0, bkt.level-1)
+	bkt.repeats = append(bkt.repeats, now)
 	return true
 }
 
-// Spending is what a budget's decision rests on, for the log.
+// Spending is the state of a bucket that a decision of Take was based on, for the log.
 type Spending struct {
-	// Level is what is left to spend.
+	// Level is the number of repeated sends that may still be made.
 	Level float64
-	// Requests are those remembered and Repeats those of the window that ends now, at
-	// this instance.
+	// Requests is the number of requests remembered, and Repeats the number of repeated sends in
+	// the window that ends now, both at this instance.
 	Requests, Repeats int
-	// Instances share the part of this failure domain; 0 while that is not known.
+	// Instances is the number of instances that share the part of this failure domain; 0 if
+	// unknown.
 	Instances int
-	// Age is how long the process has kept count.
+	// Age is the time since this Budget was created, at the start of the process.
 	Age time.Duration
 }
 
-// Spending returns the present account of a service.
+// Spending returns the present state of the bucket of a service.
 func (b *Budget) Spending(service string, now time.Time) Spending {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.account(service, now)
-	return Spending{Level: a.level, Requests: len(a.requests), Repeats: len(a.repeats), Instances: b.instances, Age: now.Sub(b.began)}
+	bkt := b.bucket(service, now)
+	return Spending{Level: bkt.level, Requests: len(bkt.requests), Repeats: len(bkt.repeats), Instances: b.instances, Age: now.Sub(b.created)}
 }
 
-// account needs mu. It returns the account of a service as of now.
-func (b *Budget) account(service string, now time.Time) *account {
-	a := b.services[service]
-	if a == nil {
-		b.settle(&b.unused, now)
-		a = &account{level: b.unused.level, settled: b.unused.settled}
-		b.services[service] = a
+// bucket returns the bucket of a service, refilled up to now. b.mu must be held.
+func (b *Budget) bucket(service string, now time.Time) *bucket {
+	bkt := b.buckets[service]
+	if bkt == nil {
+		b.refill(&b.idle, now)
+		bkt = &bucket{level: b.idle.level, updated: b.idle.updated}
+		b.buckets[service] = bkt
 	}
-	b.settle(a, now)
-	return a
+	b.refill(bkt, now)
+	return bkt
 }
 
-// settleAll needs mu. It is called before what accounts gain by changes.
-func (b *Budget) settleAll(now time.Time) {
-	b.settle(&b.unused, now)
-	for _, a := range b.services {
-		b.settle(a, now)
+// refillAll refills all buckets up to now. It is called before a change of the rate at which they
+// refill. b.mu must be held.
+func (b *Budget) refillAll(now time.Time) {
+	b.refill(&b.idle, now)
+	for _, bkt := range b.buckets {
+		b.refill(bkt, now)
 	}
 }
 
-// settle needs mu. It adds what time has brought, and forgets what is older than the
-// window.
-func (b *Budget) settle(a *account, now time.Time) {
-	if a.settled.IsZero() {
-		a.settled = now
+// refill adds what has accrued since the last call, and drops requests and repeats that are outside
+// the window. b.mu must be held.
+func (b *Budget) refill(bkt *bucket, now time.Time) {
+	if bkt.updated.IsZero() {
+		bkt.updated = now
 	}
-	if elapsed := now.Sub(a.settled); elapsed > 0 {
-		a.level += b.gain(elapsed)
-		a.settled = now
+	if elapsed := now.Sub(bkt.updated); elapsed > 0 {
+		bkt.level += b.accrued(elapsed)
+		bkt.updated = now
 	}
-	a.requests = recent(a.requests, now.Add(-max(0, b.params.Window-lateness)))
-	a.repeats = recent(a.repeats, now.Add(-b.params.Window))
-	a.level = min(a.level, b.most(a))
+	bkt.requests = dropBefore(bkt.requests, now.Add(-max(0, b.params.Window-maxDelay)))
+	bkt.repeats = dropBefore(bkt.repeats, now.Add(-b.params.Window))
+	bkt.level = min(bkt.level, b.capacity(bkt))
 }
 
-// gain needs mu. It is what an account gains with time.
-func (b *Budget) gain(elapsed time.Duration) float64 {
+// accrued returns what a bucket gains within elapsed. b.mu must be held.
+func (b *Budget) accrued(elapsed time.Duration) float64 {
 	if b.params.Window <= 0 {
 		return 0
 	}
-	return gained * b.share() * float64(elapsed) / float64(b.params.Window)
+	return accrualFraction * b.extraShare() * float64(elapsed) / float64(b.params.Window)
 }
 
-// most needs mu. It is the highest level of an account.
-func (b *Budget) most(a *account) float64 {
-	return b.saved() * (b.params.Ratio*float64(len(a.requests)) + b.share())
+// capacity returns the highest level of a bucket. b.mu must be held.
+func (b *Budget) capacity(bkt *bucket) float64 {
+	return b.capacityFraction() * (b.params.Ratio*float64(len(bkt.requests)) + b.extraShare())
 }
 
-// saved needs mu. It is the part that can be saved up for a sudden failure: what the
-// gains of a window and of the lateness before it leave; nothing in windows not longer
-// than about lateness.
-func (b *Budget) saved() float64 {
+// capacityFraction returns the fraction of the bound that can be saved for a sudden failure:
+// boundFraction less what accrues in a window and in maxDelay before it. It is 0 in windows that
+// are not longer than about maxDelay. b.mu must be held.
+func (b *Budget) capacityFraction() float64 {
 	if b.params.Window <= 0 {
 		return 0
 	}
-	return max(0, whole-gained*(1+float64(lateness)/float64(b.params.Window)))
+	return max(0, boundFraction-accrualFraction*(1+float64(maxDelay)/float64(b.params.Window)))
 }
 
-// share needs mu. It is this instance's part of Extra.
-func (b *Budget) share() float64 {
+// extraShare returns this instance's part of Extra. b.mu must be held.
+func (b *Budget) extraShare() float64 {
 	if b.instances <= 0 {
 		return 0
 	}
-	return shared * b.params.Extra / float64(max(1, b.params.Domains)) / float64(b.instances)
+	return sharedFraction * b.params.Extra / float64(max(1, b.params.Domains)) / float64(b.instances)
 }
 
-func recent(times []time.Time, from time.Time) []time.Time {
+// dropBefore returns the times that are not before from; times must be sorted.
+func dropBefore(times []time.Time, from time.Time) []time.Time {
 	i := 0
 	for i < len(times) && times[i].Before(from) {
 		i++
--- a/command/forward/change_test.go
+++ b/command/forward/change_test.go
@@ -8,7 +8,7 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// changingServers applies another configuration while the first attempt is under way.
+// changingServers applies another configuration while the first attempt is in progress.
 type changingServers struct {
 	*fakeServers
 	change func()
@@ -19,10 +19,10 @@
 	return s.fakeServers.Send(ctx, a)
 }
 
-// TestConfigurationChangesMeanwhile: a request under way, also one that is sent once more
-// after the change, is answered by the configuration it began with, whatever the new
-// one has left of its route and service.
-func TestConfigurationChangesMeanwhile(t *testing.T) {
+// TestConfigurationChangeDuringRequest: a request in progress is answered according to the
+// configuration with which it started, even if it is sent again after the change and the new
+// configuration no longer has its route or service.
+func TestConfigurationChangeDuringRequest(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream", "once"} {
 		for name, config := range map[string]*serving.Config{
 			"all gone":        {Version: 2},
--- a/command/forward/choose.go
+++ b/command/forward/choose.go
@@ -15,21 +15,23 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// choose returns the server to send to next, waiting for a load if need be.
-func (t *trip) choose(ctx context.Context) (serving.Server, *verdict.Failure) {
+// choose returns the server to send to next. It waits if the model has to be loaded first, or if all
+// servers are at their limits or have set a Retry-After.
+func (t *transaction) choose(ctx context.Context) (serving.Server, *verdict.Failure) {
 	if t.service.Engine == nil || t.request.Unit.Model == "" {
 		return t.choosePlain(ctx)
 	}
 	return t.chooseEngine(ctx)
 }
 
-// choosePlain picks among all servers of the service, and waits for a turn if need be.
-func (t *trip) choosePlain(ctx context.Context) (serving.Server, *verdict.Failure) {
+// choosePlain picks among all servers of the service. It waits if all of them are at their limits or
+// have set a Retry-After.
+func (t *transaction) choosePlain(ctx context.Context) (serving.Server, *verdict.Failure) {
 	for {
 		servers := t.f.dir.Servers(t.service.Name)
 		known := len(servers)
 		usable := slices.DeleteFunc(servers, func(s serving.Server) bool { return t.excluded[s.ID] || t.f.guard.Ended(s) })
-		open := t.available(usable)
+		open := t.availableServers(usable)
 		candidates := make([]balance.Candidate, 0, len(open))
 		for _, i := range open {
 			s := usable[i]
@@ -38,7 +40,7 @@
 		if i := t.f.balancer.Pick(candidates, clock.Now()); i >= 0 {
 			return usable[open[i]], nil
 		}
-		if t.intake.closed.IsZero() {
+		if t.serverLimits.nextAvailable.IsZero() {
 			return serving.Server{}, t.noServer(known)
 		}
 		if failure := t.awaitTurn(ctx); failure != nil {
@@ -47,19 +49,21 @@
 	}
 }
 
-// noServerRetry is told to clients when no server of a service is known: about
-// the time in which a new one announces itself.
-const noServerRetry = time.Second
+// noServerRetryAfter is the Retry-After sent if no server of a service is known: about the time
+// within which a new server announces itself.
+const noServerRetryAfter = time.Second
 
-func (t *trip) noServer(known int) *verdict.Failure {
+// noServer returns the failure of a request for which no server is left. known is the number of
+// servers of the service.
+func (t *transaction) noServer(known int) *verdict.Failure {
 	if t.last != nil {
 		return t.lastFailure("no other server is left")
 	}
-	return verdict.Refuse(verdict.ReasonNoReplica, "no server of %s can be asked, of %d known", t.service.Name, known).After(noServerRetry)
+	return verdict.Refuse(verdict.ReasonNoReplica, "no server of %s can be asked, of %d known", t.service.Name, known).After(noServerRetryAfter)
 }
 
-// chooseEngine picks among the engines that have the unit, or has it loaded.
-func (t *trip) chooseEngine(ctx context.Context) (serving.Server, *verdict.Failure) {
+// chooseEngine picks among the engines that have the unit, or requests that the unit be loaded.
+func (t *transaction) chooseEngine(ctx context.Context) (serving.Server, *verdict.Failure) {
 	var stop func()
 	defer func() {
 		if stop != nil {
@@ -69,76 +73,76 @@
 	for {
 		server, ready, found := t.bestReplica()
 		if found && ready.IsZero() {
-			t.waits.ended(t.f.counts)
+			t.waits.recordEstimateError(t.f.counts)
 			return server, t.refuseOverload()
 		}
 		wait := clock.Until(ready)
 		if stop == nil {
-			stop = t.f.placer.Waits(t.request.Unit, t.route.Priority, t.onTime(), t.due())
+			stop = t.f.placer.Waits(t.request.Unit, t.route.Priority, t.latestOnTimeLoad(), t.nextOutputDeadline())
 		}
-		t.waits.next(serving.WaitLoad)
-		if !found || wait <= 0 { // a load that should be done by now is confirmed, see Place
+		t.waits.setCause(serving.WaitLoad)
+		if !found || wait <= 0 { // the holder has to confirm a load that should be complete by now, see Place
 			var failure *verdict.Failure
-			server, ready, failure = t.want(ctx, server)
+			server, ready, failure = t.requestPlace(ctx, server)
 			if failure != nil {
 				return serving.Server{}, failure
 			}
 			wait = clock.Until(ready)
 		}
-		if server.ID == "" && !t.intake.closed.IsZero() {
-			wait = min(wait, clock.Until(t.intake.closed))
+		if server.ID == "" && !t.serverLimits.nextAvailable.IsZero() {
+			wait = min(wait, clock.Until(t.serverLimits.nextAvailable))
 		}
 		if wait <= 0 && server.ID != "" {
-			t.waits.ended(t.f.counts)
+			t.waits.recordEstimateError(t.f.counts)
 			return server, nil
 		}
-		if failure := t.waitFor(ctx, wait, server.ID != ""); failure != nil {
+		if failure := t.waitForLoad(ctx, wait, server.ID != ""); failure != nil {
 			return serving.Server{}, failure
 		}
 	}
 }
 
-// diskLoad is how long the request's model takes to load from an engine's disk.
-func (t *trip) diskLoad() time.Duration {
+// diskLoadTime returns how long the request's model takes to load from an engine's disk.
+func (t *transaction) diskLoadTime() time.Duration {
 	return t.service.Engine.Models[t.request.Unit.Model].LoadTime(serving.TierDisk)
 }
 
-// onTime is until when a load from disk that begins leads to an answer within the
-// request's objective.
-func (t *trip) onTime() time.Time {
-	return t.request.Arrived.Add(t.route.Objective - t.diskLoad() - t.f.params.FirstEvent)
+// latestOnTimeLoad returns the latest time at which a load from disk can begin and still lead to an
+// answer within the request's objective.
+func (t *transaction) latestOnTimeLoad() time.Time {
+	return t.request.Arrived.Add(t.route.Objective - t.diskLoadTime() - t.f.params.FirstEvent)
 }
 
-// lateByLoad is the chance that the request is late if its model has to be loaded
-// from an engine's disk: waits for loads vary about as exponentially distributed
-// ones do, since they begin when an engine is free.
-func (t *trip) lateByLoad() float64 {
-	load := t.diskLoad()
+// lateProbability returns the probability that the request misses its objective if its model has to
+// be loaded from an engine's disk. Waiting times for loads are approximately exponentially
+// distributed, since a load begins when an engine becomes free.
+func (t *transaction) lateProbability() float64 {
+	load := t.diskLoadTime()
 	if load <= 0 {
 		return 1
 	}
 	return math.Exp(-t.route.Objective.Seconds() / load.Seconds())
 }
 
-// leastWait is the shortest pause before a place is asked for again.
-const leastWait = 20 * time.Millisecond
+// minLoadWait is the shortest pause before a place is requested again.
+const minLoadWait = 20 * time.Millisecond
 
-// waitFor waits for a load, or refuses if it will be done too late. While it is not
-// decided which engine loads the unit, the wait ends as soon as one has it, and is
-// asked about anew from time to time.
-func (t *trip) waitFor(ctx context.Context, wait time.Duration, decided bool) *verdict.Failure {
-	wait = max(wait, leastWait)
-	if failure := t.refuseWait(wait); failure != nil {
+// waitForLoad waits for a load, or refuses the request if the load will complete too late. While no
+// engine is chosen for the load (decided is false), the wait ends as soon as some engine has the
+// unit, and at the latest after placeRefreshInterval so that the place is requested again.
+func (t *transaction) waitForLoad(ctx context.Context, wait time.Duration, decided bool) *verdict.Failure {
+	wait = max(wait, minLoadWait)
+	if failure := t.lateLoadFailure(wait); failure != nil {
 		return failure
 	}
 	started := clock.Now()
-	t.waits.expect(wait)
+	t.waits.setEstimate(wait)
 	defer func() { t.waits.add(clock.Since(started)) }()
 	if decided {
 		return t.pauseFor(ctx, wait)
 	}
-	for until := started.Add(min(wait, askAnew)); clock.Now().Before(until); {
-		if failure := t.pauseFor(ctx, min(lookInterval, clock.Until(until))); failure != nil {
+	for until := started.Add(min(wait, placeRefreshInterval)); clock.Now().Before(until); {
+		if failure := t.pauseFor(ctx, min(replicaPollInterval, clock.Until(until))); failure != nil {
 			return failure
 		}
 		if _, _, found := t.bestReplica(); found {
@@ -148,20 +152,20 @@
 	return nil
 }
 
-// While a request waits and no engine is chosen yet, it looks each lookInterval for
-// one that the holder has told of since, and asks the holder anew after askAnew: the
-// prospect may have turned bad, or what it was told of is free sooner. Requests that
-// slept for as long as they had been told lost .029 +- .007 of worth (24 pairs of days
-// on the users' platform).
+// While a request waits and no engine is chosen yet, it checks every replicaPollInterval for an
+// engine that the holder has reported since, and asks the holder again after placeRefreshInterval:
+// the estimate may have become worse, or the engine that the first answer was based on may be free
+// earlier. Requests that slept for the whole time first announced lost .029 +- .007 of worth (24
+// pairs of days on the users' platform).
 const (
-	lookInterval = 50 * time.Millisecond
-	askAnew      = 500 * time.Millisecond
+	replicaPollInterval  = 50 * time.Millisecond
+	placeRefreshInterval = 500 * time.Millisecond
 )
 
-// bestReplica picks among the engines known to have the unit or to get it.
-func (t *trip) bestReplica() (serving.Server, time.Time, bool) {
+// bestReplica picks among the engines known to have the unit or to be loading it.
+func (t *transaction) bestReplica() (serving.Server, time.Time, bool) {
 	now := clock.Now()
-	usable := t.openReplicas(now)
+	usable := t.availableReplicas(now)
 	candidates := make([]balance.Candidate, 0, len(usable))
 	for _, r := range usable {
 		candidates = append(candidates, balance.Candidate{
@@ -169,7 +173,7 @@
 			Near: r.Server.FailureDomain == t.f.params.FailureDomain,
 		})
 	}
-	t.only = len(candidates) == 1 && usable[0].Ready.IsZero()
+	t.soleReplica = len(candidates) == 1 && usable[0].Ready.IsZero()
 	t.markAffine(candidates)
 	i := t.f.balancer.Pick(candidates, now)
 	if i < 0 {
@@ -178,8 +182,9 @@
 	return usable[i].Server, usable[i].Ready, true
 }
 
-// openReplicas returns the replicas to which the request may be sent, as far as is known.
-func (t *trip) openReplicas(now time.Time) []directory.Replica {
+// availableReplicas returns the replicas to which the request may be sent, according to the current
+// state of the directory and the server limits.
+func (t *transaction) availableReplicas(now time.Time) []directory.Replica {
 	replicas := slices.DeleteFunc(t.f.dir.Replicas(t.service.Name, t.request.Unit, now), func(r directory.Replica) bool {
 		return t.excluded[r.Server.ID] || t.f.guard.Ended(r.Server)
 	})
@@ -187,7 +192,7 @@
 	for _, r := range replicas {
 		servers = append(servers, r.Server)
 	}
-	open := t.available(servers)
+	open := t.availableServers(servers)
 	chosen := make([]directory.Replica, 0, len(open))
 	for _, i := range open {
 		chosen = append(chosen, replicas[i])
@@ -195,14 +200,14 @@
 	return chosen
 }
 
-// markAffine marks the replica that gets requests with the same start of the
-// prompt, chosen by hash (rendezvous) so that instances agree on it.
-func (t *trip) markAffine(candidates []balance.Candidate) {
-	if len(t.request.PromptParts) < affineParts || len(candidates) < 2 {
+// markAffine marks the replica that should receive requests with the same prompt prefix. It is
+// chosen by rendezvous hashing, so that all instances choose the same one.
+func (t *transaction) markAffine(candidates []balance.Candidate) {
+	if len(t.request.PromptParts) < affinityParts || len(candidates) < 2 {
 		return
 	}
 	prefix := t.request.Unit.String()
-	for _, part := range t.request.PromptParts[:affineParts] {
+	for _, part := range t.request.PromptParts[:affinityParts] {
 		prefix += "," + part
 	}
 	best, bestHash := 0, uint64(0)
@@ -214,6 +219,6 @@
 	candidates[best].Affine = true
 }
 
-// affineParts is how many parts of a prompt are taken as shared: the last one
-// belongs to the request, the first is shared most widely.
-const affineParts = 1
+// affinityParts is the number of leading prompt parts that are hashed: the last part is specific to
+// the request, and the first one is shared by most requests.
+const affinityParts = 1
--- a/command/forward/counts.go
+++ b/command/forward/counts.go
@@ -14,41 +14,42 @@
 	set      *metrics.Set
 	answered *metrics.Counter
 	seconds  *metrics.Histogram
-	// later and sooner are by how much waits ended later and sooner than promised.
-	later, sooner *metrics.Histogram
+	// waitedLonger and waitedShorter observe by how much waits were longer and shorter than first
+	// estimated.
+	waitedLonger, waitedShorter *metrics.Histogram
 
-	begun, refused, failed, cancelled atomic.Int64
+	accepted, refused, failed, cancelled atomic.Int64
 }
 
-// Totals are how many requests were accepted, have ended in which way, and run.
-// Accepted is the sum of the others.
+// Totals are the numbers of requests accepted, ended (by outcome) and running. Accepted is the sum
+// of the others.
 type Totals struct{ Accepted, Answered, Refused, Failed, Cancelled, Running int64 }
 
-// Totals returns the counts so far. A request that ends meanwhile counts as running:
-// those that have ended are read first.
+// Totals returns the counts so far. The numbers of ended requests are read before that of accepted
+// ones, so a request that ends during the call counts as running.
 func (c *Counts) Totals() Totals {
 	t := Totals{Answered: int64(c.answered.Get()), Refused: c.refused.Load(), Failed: c.failed.Load(), Cancelled: c.cancelled.Load()}
-	t.Accepted = c.begun.Load()
+	t.Accepted = c.accepted.Load()
 	t.Running = t.Accepted - t.Answered - t.Refused - t.Failed - t.Cancelled
 	return t
 }
 
-// begin counts a request that was accepted.
-func (c *Counts) begin() { c.begun.Add(1) }
+// requestAccepted counts an accepted request.
+func (c *Counts) requestAccepted() { c.accepted.Add(1) }
 
-// NewCounts returns Counts in set.
+// NewCounts returns Counts with metrics registered in set.
 func NewCounts(set *metrics.Set) *Counts {
 	return &Counts{
 		set: set, answered: set.NewCounter(`martenport_requests_total{outcome="answered"}`),
-		seconds: set.NewHistogram("martenport_request_seconds"),
-		later:   set.NewHistogram(`martenport_prospect_error_seconds{ended="later"}`),
-		sooner:  set.NewHistogram(`martenport_prospect_error_seconds{ended="sooner"}`),
+		seconds:       set.NewHistogram("martenport_request_seconds"),
+		waitedLonger:  set.NewHistogram(`martenport_prospect_error_seconds{ended="later"}`),
+		waitedShorter: set.NewHistogram(`martenport_prospect_error_seconds{ended="sooner"}`),
 	}
 }
 
-// repeat counts a repeated send that the budget allowed or denied. Services are
-// those of the configuration, so the counters are few.
-func (c *Counts) repeat(service string, allowed bool) {
+// repeatedSend counts a repeated send that the budget allowed or denied. Services come from the
+// configuration, so the number of counters is small.
+func (c *Counts) repeatedSend(service string, allowed bool) {
 	outcome := "denied"
 	if allowed {
 		outcome = "allowed"
@@ -56,18 +57,18 @@
 	c.set.GetOrCreateCounter(`martenport_repeated_sends_total{service="` + service + `",outcome="` + outcome + `"}`).Inc()
 }
 
-// prospect counts by how much a wait differed from what was promised.
-func (c *Counts) prospect(promised, waited time.Duration) {
-	if waited >= promised {
-		c.later.Update((waited - promised).Seconds())
+// waitEstimateError records the difference between the estimated and the actual wait.
+func (c *Counts) waitEstimateError(estimated, waited time.Duration) {
+	if waited >= estimated {
+		c.waitedLonger.Update((waited - estimated).Seconds())
 	} else {
-		c.sooner.Update((promised - waited).Seconds())
+		c.waitedShorter.Update((estimated - waited).Seconds())
 	}
 }
 
-// end counts how a request ended; failure is nil for an answered one.
-func (c *Counts) end(failure *verdict.Failure, took time.Duration) {
-	c.seconds.Update(took.Seconds())
+// requestEnded counts an ended request and records its latency; failure is nil for an answered one.
+func (c *Counts) requestEnded(failure *verdict.Failure, latency time.Duration) {
+	c.seconds.Update(latency.Seconds())
 	if failure == nil {
 		c.answered.Inc()
 		return
--- a/command/forward/draw_test.go
+++ b/command/forward/draw_test.go
@@ -7,10 +7,10 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// TestEachSendIsDrawnOnce: every send beyond the first is drawn from the budget once,
-// also where the answer is held back until it is known whether there may be another;
-// and one that cannot be drawn is not made.
-func TestEachSendIsDrawnOnce(t *testing.T) {
+// TestResendDrawnOnce: every send after the first is drawn from the budget once, including when an
+// answer is withheld until it is known whether another send is possible. A send that cannot be
+// drawn is not made.
+func TestResendDrawnOnce(t *testing.T) {
 	ok, failed, refused := reply{status: 200, body: "done"}, reply{status: 500, body: "no"}, reply{status: 503, notRun: true}
 	tests := map[string]struct {
 		replies    []reply
@@ -49,7 +49,7 @@
 	}
 }
 
-// notSentOf counts the replies of sends that reach no server.
+// notSentOf counts the replies to sends that reach no server.
 func notSentOf(replies []reply) int {
 	n := 0
 	for _, r := range replies {
--- a/command/forward/forward.go
+++ b/command/forward/forward.go
@@ -1,11 +1,10 @@
-// Package forward takes a request to a backend server and the answer back.
+// Package forward sends requests to backend servers and relays the answers to the clients.
 //
-// A request is sent again only where that is harmless: if it has not run, by
-// the verdict of the send or the server's own word, or if its route says that
-// it may run again. Repeated sends are drawn from a budget that all instances
-// share. Where the model that a request needs is not loaded, the forwarder
-// asks for it, and then waits, or refuses at once and says when to come back if
-// the load will be done too late for the client.
+// A request is sent again only if that is safe: if it has not run, according to the verdict of the
+// send or the server's own statement, or if its route declares that it may be repeated. Repeated
+// sends are drawn from a budget that all instances share. If the model that a request needs is not
+// loaded, the forwarder requests the load and then either waits, or, if the load will complete too
+// late for the client, refuses the request immediately with a Retry-After.
 package forward
 
 import (
@@ -25,94 +24,92 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// Errors of a Placer.
+// Errors returned by a Placer.
 var (
-	// ErrNoHolder: no instance can be reached that loads models.
+	// ErrNoHolder is returned if the holder, the instance that has models loaded, cannot be
+	// reached.
 	ErrNoHolder = errors.New("forward: no holder can be reached")
-	// ErrNoRoom: no engine can take the model now.
+	// ErrNoRoom is returned if no engine can take the model now.
 	ErrNoRoom = errors.New("forward: no engine can take the model now")
 )
 
-// Wanted asks for a unit to be loaded.
+// Wanted is a request for a unit to be loaded.
 type Wanted struct {
 	Service string
 	Unit    serving.Unit
-	// Missing names an engine that said that it does not have the unit though
-	// it should.
+	// Missing is an engine that reported that it does not have the unit although it should; empty
+	// if there is none.
 	Missing string
-	// Unreachable names an engine that could not be connected to.
+	// Unreachable is an engine to which no connection could be made; empty if there is none.
 	Unreachable string
 }
 
-// Urgency is what a request loses if its unit has to be loaded first.
+// Urgency describes what it costs a request if its unit has to be loaded first.
 type Urgency struct {
-	// Priority of its route, 0 first.
+	// Priority is that of the route; 0 is the highest.
 	Priority int
-	// Deferrable: it may be refused for load.
+	// Deferrable is set if the request may be refused under overload.
 	Deferrable bool
-	// Late is the chance that it is late then.
+	// Late is the probability that the request then misses its objective.
 	Late float64
 }
 
-// Run is a request that runs on an engine.
+// Run is a request that is running on an engine.
 type Run struct {
 	Engine string
 	Unit   serving.Unit
-	// Deferrable: such a request may be refused for load.
+	// Deferrable is set if the request may be refused under overload.
 	Deferrable bool
-	// Only: no other engine is known to have the unit.
+	// Only is set if no other engine is known to have the unit.
 	Only bool
 }
 
-// Place is where a unit is or will be. The holder follows the load, and does not say that
-// the unit is ready before that has ended. Instances that sent their requests at the time
-// that they had been told first had 466 of 12,000 sends refused, most of them for loads
-// that had to wait for an unload, and each was drawn from the budget of repeated sends
-// (a quiet day with 195 instances).
+// Place states where a unit is or will be loaded. The holder follows the load and reports the unit
+// as ready only once the load has completed. When instances sent their requests at the time first
+// announced, 466 of 12,000 sends were refused, most of them because the load had to wait for an
+// unload, and each was drawn from the budget of repeated sends (a quiet day with 195 instances).
 type Place struct {
-	// Engine is empty while that is not decided; ask again when it is Ready.
+	// Engine is empty while no engine has been chosen; ask again at Ready.
 	Engine string
 	Ready  time.Time
-	// For is what requests wait for until then.
+	// For is the cause of the wait until Ready.
 	For serving.Wait
 }
 
-// Placer has units loaded.
+// Placer requests the loading of units.
 type Placer interface {
-	// Want returns where the unit will be. It does not wait for the load. Its
-	// errors are ErrNoHolder and ErrNoRoom; the place then says when to ask
-	// again.
+	// Want returns where the unit will be, without waiting for the load. Its errors are ErrNoHolder
+	// and ErrNoRoom; Place.Ready is then the time to ask again.
 	Want(ctx context.Context, w Wanted) (Place, error)
-	// Arrived notes a request for a unit, for forecasts.
+	// Arrived records a request for a unit, for demand forecasts.
 	Arrived(unit serving.Unit, urgency Urgency)
-	// Waits notes that a request waits for a unit to be loaded, until the returned
-	// function is called. onTime is until when a load that begins leads to an answer
-	// within the request's objective, and leaves when its client leaves.
+	// Waits records that a request waits for a unit to be loaded, until the returned function is
+	// called. onTime is the latest time at which a load can begin and still lead to an answer
+	// within the request's objective, and leaves is when its client gives up.
 	Waits(unit serving.Unit, priority int, onTime, leaves time.Time) func()
-	// Started notes that a request runs on an engine, until the returned function is
-	// called, which is told whether the engine has answered.
+	// Started records that a request is running on an engine, until the returned function is
+	// called. answered states whether the engine has answered.
 	Started(r Run) func(answered bool)
 }
 
-// Params are what the forwarder goes by beside routes.
+// Params are the settings of the forwarder that do not depend on the route.
 type Params struct {
 	FailureDomain string
-	// FirstEvent is how long an engine takes to a first event when all that it
-	// needs is loaded.
+	// FirstEvent is the time an engine needs to send the first event when everything it needs is
+	// loaded.
 	FirstEvent time.Duration
-	// RetryPause is the pause before a server that has just refused is asked
-	// again.
+	// RetryPause is the pause before sending again to a server that has just refused the request.
 	RetryPause time.Duration
 }
 
-// DefaultParams returns the parameters used unless set otherwise.
+// DefaultParams returns the default parameters.
 func DefaultParams(failureDomain string) Params {
 	return Params{
 		FailureDomain: failureDomain, FirstEvent: 120 * time.Millisecond, RetryPause: 60 * time.Millisecond,
 	}
 }
 
-// Forwarder is a serving.Handler.
+// Forwarder sends requests to backend servers. It implements serving.Handler.
 type Forwarder struct {
 	params   Params
 	dir      *directory.Directory
@@ -125,7 +122,7 @@
 	intake   Intake
 	log      logrus.FieldLogger
 	counts   *Counts
-	// leaving is closed when the instance is about to end.
+	// leaving is closed when the instance begins to shut down.
 	leaving chan struct{}
 }
 
@@ -137,62 +134,66 @@
 	}
 }
 
-// Leave has all requests that no server has yet refused, since the instance is
-// about to end. It must be called once.
+// Leave refuses all requests that have not been sent to a server yet, because the instance is
+// shutting down. It must be called only once.
 func (f *Forwarder) Leave() { close(f.leaving) }
 
-// leavingRetry is told to clients of an instance that leaves: another answers.
-const leavingRetry = 20 * time.Millisecond
+// leavingRetryAfter is the Retry-After sent by an instance that is shutting down; another instance
+// will answer.
+const leavingRetryAfter = 20 * time.Millisecond
 
-// left returns the refusal of an instance that leaves, nil while it stays.
-func (f *Forwarder) left() *verdict.Failure {
+// drainingFailure returns the refusal sent while the instance is shutting down, and nil before
+// that.
+func (f *Forwarder) drainingFailure() *verdict.Failure {
 	select {
 	case <-f.leaving:
-		return verdict.Refuse(verdict.ReasonDraining, "the instance is leaving").After(leavingRetry)
+		return verdict.Refuse(verdict.ReasonDraining, "the instance is leaving").After(leavingRetryAfter)
 	default:
 		return nil
 	}
 }
 
-// noConfigRetry is told to clients while there is no configuration yet.
-const noConfigRetry = 500 * time.Millisecond
+// noConfigRetryAfter is the Retry-After sent while there is no configuration yet.
+const noConfigRetryAfter = 500 * time.Millisecond
 
 // Serve implements serving.Handler.
 func (f *Forwarder) Serve(ctx context.Context, r *serving.Request, w http.ResponseWriter) *verdict.Failure {
-	f.counts.begin()
+	f.counts.requestAccepted()
 	config, known := f.access.Current()
 	if config == nil {
-		return f.refused(r, verdict.Refuse(verdict.ReasonPlatform, "no configuration is known yet").After(noConfigRetry))
+		return f.recordRefusal(r, verdict.Refuse(verdict.ReasonPlatform, "no configuration is known yet").After(noConfigRetryAfter))
 	}
 	if !f.guard.Ready() {
-		return f.refused(r, verdict.Refuse(verdict.ReasonPlatform, "it is not known yet which requests are held").After(noConfigRetry))
+		return f.recordRefusal(r, verdict.Refuse(verdict.ReasonPlatform, "it is not known yet which requests are held").After(noConfigRetryAfter))
 	}
 	route := config.Match(r.Host, r.Path())
 	if route == nil {
-		return f.refused(r, access.NoRoute(config, r, known, f.access.Policy()))
+		return f.recordRefusal(r, access.NoRoute(config, r, known, f.access.Policy()))
 	}
-	admitted, failure := f.admit(ctx, admission{config: config, known: known, route: route}, r)
+	admitted, failure := f.admit(ctx, admission{config: config, freshness: known, route: route}, r)
 	if failure != nil {
-		return f.notAdmitted(admitted, r, failure)
+		return f.recordRejection(admitted, r, failure)
 	}
-	t := f.newTrip(admitted, r, w)
+	t := f.newTransaction(admitted, r, w)
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(t.deadline))
 	defer cancel()
 	failure = t.run(ctx)
 	if t.runs == 0 {
-		admitted.giveBack()
+		admitted.refund()
 	}
-	t.end(failure)
+	t.finish(failure)
 	return failure
 }
 
-func (f *Forwarder) refused(r *serving.Request, failure *verdict.Failure) *verdict.Failure {
-	f.counts.end(failure, 0)
+// recordRefusal logs and counts a request that was refused before it was matched to a
+// route.
+func (f *Forwarder) recordRefusal(r *serving.Request, failure *verdict.Failure) *verdict.Failure {
+	f.counts.requestEnded(failure, 0)
 	f.log.WithFields(logrus.Fields{"request": r.ID, "reason": failure.Reason}).Info("request refused: " + failure.Detail)
 	return failure
 }
 
-// chooseTarget picks a service by weight.
+// chooseTarget picks a service at random, in proportion to the weights of the targets.
 func chooseTarget(targets []serving.Target) string {
 	total := 0
 	for _, t := range targets {
--- a/command/forward/forward_test.go
+++ b/command/forward/forward_test.go
@@ -28,13 +28,13 @@
 	misdir  bool
 	events  bool
 	body    string
-	// broken ends the body with an error instead of its end.
+	// broken makes reading the body fail at its end.
 	broken bool
-	// rests: the server asks for rest.
+	// rests is set if the server sets a Retry-After.
 	rests bool
 }
 
-// fakeServers answers attempts in the order of replies and notes them.
+// fakeServers answers attempts in the order of replies and records the attempts.
 type fakeServers struct {
 	replies  []reply
 	attempts []serving.Attempt
@@ -63,13 +63,13 @@
 
 func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// fakePlacer says where units are.
+// fakePlacer returns a fixed place for units and records the requests for it.
 type fakePlacer struct {
-	mu    sync.Mutex
-	place Place // guarded by mu where a test changes it meanwhile
-	err   error
-	asked []Wanted
-	// waiting counts the requests that wait, and onTime is what the last one said.
+	mu       sync.Mutex
+	place    Place // guarded by mu in tests that change it concurrently
+	err      error
+	requests []Wanted
+	// waiting is the number of waiting requests, and onTime the value passed by the last one.
 	waiting int
 	onTime  time.Time
 }
@@ -77,7 +77,7 @@
 func (f *fakePlacer) Want(_ context.Context, w Wanted) (Place, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = append(f.asked, w)
+	f.requests = append(f.requests, w)
 	return f.place, f.err
 }
 func (f *fakePlacer) Arrived(serving.Unit, Urgency) {}
@@ -88,6 +88,7 @@
 }
 func (f *fakePlacer) Started(Run) func(bool) { return func(bool) {} }
 
+// fixture is a Forwarder with fake dependencies.
 type fixture struct {
 	servers   *fakeServers
 	placer    *fakePlacer
@@ -98,8 +99,8 @@
 	forwarder *Forwarder
 }
 
-// newFixture has a plain service with servers s1 to s3, and an engine service
-// with engines e1 and e2 that both hold the model "warm".
+// newFixture returns a fixture with a plain service with servers s1 to s3, and an engine service
+// with engines e1 and e2 that both have the model "warm".
 func newFixture(t *testing.T, replies ...reply) *fixture {
 	t.Helper()
 	config := &serving.Config{Version: 1, Services: map[string]serving.Service{
@@ -131,10 +132,11 @@
 	log.SetOutput(io.Discard)
 	f := &fixture{servers: &fakeServers{replies: replies}, placer: &fakePlacer{}, dir: dir, guard: &fakeGuard{}, intake: &fakeIntake{}, access: &fakeAccess{dir: dir}}
 	f.forwarder = New(DefaultParams("d"), dir, f.servers, f.placer, balance.New(balance.DefaultParams()),
-		savedUp(BudgetParams{Ratio: 1, Extra: 100, Window: time.Minute}), f.guard, f.access, f.intake, NewCounts(metrics.NewSet()), log)
+		newFilledBudget(BudgetParams{Ratio: 1, Extra: 100, Window: time.Minute}), f.guard, f.access, f.intake, NewCounts(metrics.NewSet()), log)
 	return f
 }
 
+// serve sends a POST request on a route through the Forwarder.
 func (f *fixture) serve(route, model string, timeout time.Duration) (*httptest.ResponseRecorder, *verdict.Failure) {
 	w := httptest.NewRecorder()
 	r := &serving.Request{
@@ -149,7 +151,7 @@
 	notSent    = verdict.New(verdict.NotRun, verdict.ReasonBackend, "refused")
 )
 
-// TestResends: what is sent once more, and what the client is told.
+// TestResends: which failures lead to another send, and what is reported to the client.
 func TestResends(t *testing.T) {
 	ok := reply{status: 200, body: "done"}
 	tests := map[string]struct {
@@ -188,7 +190,7 @@
 			seen := map[string]bool{}
 			for _, a := range f.servers.attempts {
 				if seen[a.Server.ID] {
-					t.Errorf("%s was asked twice", a.Server.ID)
+					t.Errorf("sent to %s twice", a.Server.ID)
 				}
 				seen[a.Server.ID] = true
 			}
@@ -198,8 +200,8 @@
 
 const threeEvents = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"
 
-// TestStreamResumed: a stream that breaks off goes on at another engine behind
-// the last whole event, under the head of its first engine.
+// TestStreamResumed: a stream that breaks off is resumed at another engine after the last complete
+// event, with the header of the first engine.
 func TestStreamResumed(t *testing.T) {
 	f := newFixture(t,
 		reply{status: 200, events: true, body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", broken: true},
@@ -216,12 +218,12 @@
 		t.Errorf("resumed after %q, want 2", after)
 	}
 	if first := f.servers.attempts[0].Server.ID; w.Header().Get("X-Server") != first {
-		t.Errorf("head of %s, want %s", w.Header().Get("X-Server"), first)
+		t.Errorf("header of %s, want %s", w.Header().Get("X-Server"), first)
 	}
 }
 
-// TestStreamBroken: what cannot be resumed must not look whole, nor end within
-// an event.
+// TestStreamBroken: a stream that cannot be resumed must not appear complete to the client nor end
+// within an event.
 func TestStreamBroken(t *testing.T) {
 	for name, r := range map[string]reply{
 		"reset":                {status: 200, events: true, body: "id: 1\ndata: a\n\nid: 2\nda", broken: true},
@@ -243,8 +245,9 @@
 	}
 }
 
-// TestColdModel: a request waits for a load that its client outlasts, though the load
-// breaks its objective: a first try as well as a later one, which allows less time.
+// TestColdModel: a request waits for a load that completes before its client gives up, even if the
+// load makes it miss its objective. This applies to first attempts as well as to later ones, which
+// have a shorter timeout.
 func TestColdModel(t *testing.T) { synctest.Test(t, testColdModel) }
 
 func testColdModel(t *testing.T) {
@@ -260,19 +263,19 @@
 			t.Errorf("sent after %s, the load took 450 ms", waited)
 		}
 		if want := start.Add(400*time.Millisecond - DefaultParams("").FirstEvent); !f.placer.onTime.Equal(want) {
-			t.Errorf("said to be on time until %s, want %s", f.placer.onTime.Sub(start), want.Sub(start))
+			t.Errorf("on time until %s, want %s", f.placer.onTime.Sub(start), want.Sub(start))
 		}
 		if f.placer.waiting != 0 {
-			t.Errorf("%d requests are still said to wait", f.placer.waiting)
+			t.Errorf("%d requests still registered as waiting", f.placer.waiting)
 		}
 	}
 }
 
-// TestWaitEndsWithTheLoad: a request that was promised a unit for later, before it was
-// decided which engine takes it, is sent as soon as the holder tells of one that has it.
-func TestWaitEndsWithTheLoad(t *testing.T) { synctest.Test(t, testWaitEndsWithTheLoad) }
+// TestWaitEndsWhenUnitReady: a request that waits for a unit, without an engine chosen for the load
+// yet, is sent as soon as the holder reports an engine that has the unit.
+func TestWaitEndsWhenUnitReady(t *testing.T) { synctest.Test(t, testWaitEndsWhenUnitReady) }
 
-func testWaitEndsWithTheLoad(t *testing.T) {
+func testWaitEndsWhenUnitReady(t *testing.T) {
 	f := newFixture(t, reply{status: 200, events: true, body: threeEvents})
 	f.placer.place = Place{Ready: time.Now().Add(3 * time.Second)}
 	start := time.Now()
@@ -281,16 +284,18 @@
 		f.dir.ApplyViews(1, []directory.EngineView{view}, nil, time.Now())
 	})
 	_, failure := f.serve("stream", "cold", 5*time.Second)
-	if waited := time.Since(start); failure != nil || waited > 200*time.Millisecond+lookInterval {
-		t.Errorf("%v after %s, want an answer %s after the load at most", failure, waited, lookInterval)
+	if waited := time.Since(start); failure != nil || waited > 200*time.Millisecond+replicaPollInterval {
+		t.Errorf("%v after %s, want an answer at most %s after the load", failure, waited, replicaPollInterval)
 	}
 }
 
-// TestProspectTurnsBad: a request that waits is refused when the prospect turns bad, not
-// when its client leaves.
-func TestProspectTurnsBad(t *testing.T) { synctest.Test(t, testProspectTurnsBad) }
+// TestWaitRefusedWhenEstimateGrows: a waiting request is refused as soon as the estimated load time
+// exceeds its deadline, not when its client gives up.
+func TestWaitRefusedWhenEstimateGrows(t *testing.T) {
+	synctest.Test(t, testWaitRefusedWhenEstimateGrows)
+}
 
-func testProspectTurnsBad(t *testing.T) {
+func testWaitRefusedWhenEstimateGrows(t *testing.T) {
 	f := newFixture(t, reply{status: 200})
 	f.placer.place = Place{Ready: time.Now().Add(3 * time.Second)}
 	start := time.Now()
@@ -303,57 +308,58 @@
 	if failure == nil || failure.Verdict != verdict.NotRun || failure.RetryAfter < 50*time.Second {
 		t.Fatalf("%v", failure)
 	}
-	if waited := time.Since(start); waited > 700*time.Millisecond+askAnew {
-		t.Errorf("refused after %s, the prospect turned bad after 700 ms", waited)
+	if waited := time.Since(start); waited > 700*time.Millisecond+placeRefreshInterval {
+		t.Errorf("refused after %s, the estimate exceeded the deadline after 700 ms", waited)
 	}
 }
 
-// TestLoadOutlastsClient: no client is kept waiting for what comes too late.
-func TestLoadOutlastsClient(t *testing.T) { synctest.Test(t, testLoadOutlastsClient) }
+// TestLoadTooLateForClient: a request is refused immediately if its load will complete after the
+// client gives up.
+func TestLoadTooLateForClient(t *testing.T) { synctest.Test(t, testLoadTooLateForClient) }
 
-func testLoadOutlastsClient(t *testing.T) {
+func testLoadTooLateForClient(t *testing.T) {
 	f := newFixture(t, reply{status: 200})
-	f.serve("stream", "warm", 4*time.Second) // the route's usual time
+	f.serve("stream", "warm", 4*time.Second) // the timeout that is usual for the route
 	f.placer.place = Place{Engine: "e1", Ready: time.Now().Add(time.Minute)}
 	_, failure := f.serve("stream", "cold", time.Second)
 	if failure == nil || failure.Verdict != verdict.NotRun || failure.RetryAfter < 30*time.Second {
-		t.Errorf("%v, come back in %v", failure, failure.RetryAfter)
+		t.Errorf("%v, retry after %v", failure, failure.RetryAfter)
 	}
 }
 
-// TestMissingUnitIsReported: the next question for a place names the engine that
-// did not have the unit.
+// TestMissingUnitIsReported: the next request for a place names the engine that did not have the
+// unit.
 func TestMissingUnitIsReported(t *testing.T) {
 	f := newFixture(t, reply{status: 421, notRun: true, misdir: true}, reply{status: 421, notRun: true, misdir: true}, reply{status: 200, events: true, body: threeEvents})
 	f.placer.place = Place{Engine: "e1"}
 	if _, failure := f.serve("stream", "warm", 0); failure != nil {
 		t.Fatal(failure)
 	}
-	if len(f.placer.asked) == 0 || f.placer.asked[0].Missing == "" {
-		t.Errorf("asked %+v, want the engine that lacks the unit named", f.placer.asked)
+	if len(f.placer.requests) == 0 || f.placer.requests[0].Missing == "" {
+		t.Errorf("asked %+v, want the engine without the unit to be named", f.placer.requests)
 	}
 }
 
-// TestLeave: an instance that ends refuses what waits. Found as LOST on
-// portage's mix 684510430417.
-func TestLeave(t *testing.T) { synctest.Test(t, testLeave) }
+// TestLeaveRefusesWaitingRequest: an instance that shuts down refuses waiting requests. Guards
+// against a request that is lost in the shutdown, found as LOST in portage's mix 684510430417.
+func TestLeaveRefusesWaitingRequest(t *testing.T) { synctest.Test(t, testLeaveRefusesWaitingRequest) }
 
-func testLeave(t *testing.T) {
+func testLeaveRefusesWaitingRequest(t *testing.T) {
 	f := newFixture(t, reply{status: 200})
 	f.serve("stream", "warm", 4*time.Second)
 	f.placer.place = Place{Engine: "e1", Ready: time.Now().Add(2 * time.Second)}
 	time.AfterFunc(20*time.Millisecond, f.forwarder.Leave)
 	_, failure := f.serve("stream", "cold", 3900*time.Millisecond)
 	if failure == nil || failure.Verdict != verdict.NotRun || failure.Reason != verdict.ReasonDraining {
-		t.Errorf("%v, want a refusal of an instance that leaves", failure)
+		t.Errorf("%v, want a refusal because the instance is draining", failure)
 	}
 	if len(f.servers.attempts) != 1 {
 		t.Error("a refused request was sent")
 	}
 }
 
-// TestBudgetSpent: a request that has not run is not sent once more when the budget
-// of repeated sends is spent, and the client is told that it has not run.
+// TestBudgetSpent: a request that has not run is not sent again if the budget of repeated sends is
+// exhausted, and the client is informed that it has not run.
 func TestBudgetSpent(t *testing.T) {
 	f := newFixture(t, reply{status: 503, notRun: true}, reply{status: 200, body: "done"})
 	f.forwarder.budget.SetParams(BudgetParams{Window: time.Minute}, time.Now())
--- a/command/forward/guard.go
+++ b/command/forward/guard.go
@@ -14,71 +14,76 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// A request may end each server that begins it, and is sent again by clients and instances.
-// What is known of it is asked before each send and not only when it arrives: one may have
-// waited for a load while servers ended under other tries of it.
+// A request may crash each server that starts to process it, and is sent again by clients and
+// instances. Its quarantine state is therefore checked before each send and not only on arrival:
+// while the request waited for a load, servers may have crashed under other attempts of it.
 
-// Guard knows under which requests servers end.
+// Guard tracks the requests under which servers crash.
 type Guard interface {
-	// Ready reports whether it is known which requests are held: an instance that has just
-	// started reads it first.
+	// Ready reports whether the quarantine records have been loaded, which an instance does first
+	// after its start.
 	Ready() bool
-	// State returns how a request for a service is treated, and StateOn how on one server: a
-	// quarantined one may run alone on a version of the software under which none has ended.
+	// State returns how a request for a service is treated, and StateOn how it is treated on one
+	// server: a quarantined request may run alone on a software version under which no server has
+	// crashed.
 	State(fp serving.Fingerprint, service string) quarantine.State
 	StateOn(fp serving.Fingerprint, s serving.Server) quarantine.State
-	// Ended reports whether a server is known to have ended, though it is still announced.
+	// Ended reports whether a server is known to have crashed although it is still announced.
 	Ended(s serving.Server) bool
-	// Try asks that a suspect may run alone on a server, for so long at the most. Its errors
-	// are ErrTrialBusy and ErrNoHolder.
+	// Try requests permission for a suspect to run alone on a server, for at most longest. Its
+	// errors are ErrTrialBusy and ErrNoHolder.
 	Try(ctx context.Context, fp serving.Fingerprint, s serving.Server, longest time.Duration) (Trial, error)
-	// Implicated reports whether a server is known to have ended under a clear request.
+	// Implicated reports whether a server is known to have crashed under a request whose state is
+	// still clear.
 	Implicated(fp serving.Fingerprint) bool
-	// Consult exchanges with the holder what is known of a request. Its error is ErrNoHolder.
+	// Consult exchanges the records of a request with the holder. Its error is ErrNoHolder.
 	Consult(ctx context.Context, fp serving.Fingerprint) error
-	// RecordFailure notes that an answer broke off, and has the server be checked.
+	// RecordFailure records that an answer broke off, and starts a check of whether the server has
+	// crashed.
 	RecordFailure(b quarantine.BrokenAttempt) CrashCheck
-	// Inconclusive reports whether answers broke off on a server, and it is not known whether it
-	// has ended.
+	// Inconclusive reports whether answers broke off on a server and it is not known whether it has
+	// crashed.
 	Inconclusive(s serving.Server) bool
-	// Answered notes that a request was answered whole and with success.
+	// Answered records that a request was answered completely and successfully.
 	Answered(fp serving.Fingerprint)
 }
 
-// CrashCheck tells how far it is known whether a server has ended.
+// CrashCheck is the progress of a check of whether a server has crashed.
 type CrashCheck struct {
-	// FirstLook is closed when the server was looked at once, Done when it is known whether it
-	// has ended, as far as that can be known at once.
+	// FirstLook is closed when the server has been probed once, and Done when it is known whether
+	// it has crashed, as far as that can be determined immediately.
 	FirstLook, Done <-chan struct{}
 }
 
-// Trial is a suspect's leave to run on a server.
+// Trial is a suspect's permission to run alone on a server.
 type Trial struct {
-	// Grace is how long after the first event the run has to itself.
+	// Grace is how long after its first event the suspect must keep running alone.
 	Grace time.Duration
-	// End ends the trial; it may be called again. inconclusive: the answer broke off, and it is
-	// not known whether the server has ended.
+	// End ends the trial; it may be called more than once. inconclusive states that the answer
+	// broke off and it is not known whether the server has crashed.
 	End func(inconclusive bool)
 }
 
-// ErrTrialBusy: another suspect runs on the server, or the request itself on another one.
+// ErrTrialBusy is returned if another suspect runs on the server, or the same request on another
+// server.
 var ErrTrialBusy = errors.New("forward: a suspect is on trial")
 
-// subjectLength bounds what a request is called, in bytes.
-const subjectLength = 120
+// maxSubjectLength bounds the description of a request, in bytes.
+const maxSubjectLength = 120
 
-// subject says to people what a request is.
+// subject returns a human-readable description of a request.
 func subject(r *serving.Request) string {
 	s := r.Method + " " + r.Host + r.Path()
 	if r.Unit.Model != "" {
 		s += " " + r.Unit.String()
 	}
-	return s[:min(len(s), subjectLength)]
+	return s[:min(len(s), maxSubjectLength)]
 }
 
-// quarantined refuses a request under which servers end, for good: there is no time after
-// which it would be served, and a client that is told so does not come again.
-func (t *trip) quarantined() *verdict.Failure {
+// quarantineFailure returns the permanent refusal of a request under which servers crash, and nil
+// for other requests. It has no Retry-After, so that clients do not retry: the request would not be
+// served later either.
+func (t *transaction) quarantineFailure() *verdict.Failure {
 	if t.f.guard.State(t.request.Fingerprint, t.service.Name) != quarantine.Quarantined {
 		return nil
 	}
@@ -86,29 +91,30 @@
 		t.request.Fingerprint, quarantine.QuarantineAfter)
 }
 
-// Waiting of suspects.
+// Timing of trials.
 const (
-	// trialPause is the pause before a suspect asks again whether it may run: about what
-	// another one takes to its first event.
-	trialPause = 50 * time.Millisecond
-	// noTrialRetry is told to the client of a suspect while nobody can let it run: about the
-	// time in which there is a holder again.
-	noTrialRetry = 2 * time.Second
-	// trialSlack is how much longer than the request a trial may last: the way of the word
-	// that it is over.
+	// trialPollInterval is the pause before a suspect requests a trial again: about the time in
+	// which another suspect reaches its first event.
+	trialPollInterval = 50 * time.Millisecond
+	// noTrialRetryAfter is the Retry-After of a suspect that nobody can permit to run: about the
+	// time until there is a new holder.
+	noTrialRetryAfter = 2 * time.Second
+	// trialSlack is how much longer than the request a trial may last: the time that the message
+	// about its end takes to arrive.
 	trialSlack = time.Second
 )
 
-// passesQuarantine reports whether the request may be sent to the server now. A suspect has to be
-// on trial there; while it cannot be, a pause has passed.
-func (t *trip) passesQuarantine(ctx context.Context, server serving.Server) (bool, *verdict.Failure) {
-	t.consult(ctx)
+// checkQuarantine reports whether the request may be sent to the server now. A suspect needs a
+// trial there; if it cannot have one, checkQuarantine returns false after a pause or refuses the
+// request.
+func (t *transaction) checkQuarantine(ctx context.Context, server serving.Server) (bool, *verdict.Failure) {
+	t.consultHolder(ctx)
 	switch t.f.guard.StateOn(t.request.Fingerprint, server) {
 	case quarantine.Clear:
 		return true, nil
 	case quarantine.Quarantined:
 		t.excluded[server.ID] = true
-		return false, t.quarantined()
+		return false, t.quarantineFailure()
 	}
 	trial, err := t.f.guard.Try(ctx, t.request.Fingerprint, server, clock.Until(t.deadline)+trialSlack)
 	switch {
@@ -116,56 +122,60 @@
 		t.trial = trial
 		return true, nil
 	case !errors.Is(err, ErrTrialBusy):
-		return false, verdict.Refuse(verdict.ReasonPlatform, "servers ended while the request ran there, and nobody can let it run alone: %v", err).After(noTrialRetry)
-	case clock.Until(t.due()) < t.f.params.FirstEvent+trialPause:
-		return false, verdict.Refuse(verdict.ReasonQueueFull, "servers ended while the request ran there, and others run alone before it").After(noTrialRetry)
+		return false, verdict.Refuse(verdict.ReasonPlatform, "servers ended while the request ran there, and nobody can let it run alone: %v", err).After(noTrialRetryAfter)
+	case clock.Until(t.nextOutputDeadline()) < t.f.params.FirstEvent+trialPollInterval:
+		return false, verdict.Refuse(verdict.ReasonQueueFull, "servers ended while the request ran there, and others run alone before it").After(noTrialRetryAfter)
 	}
-	return false, t.pauseFor(ctx, trialPause)
+	return false, t.pauseFor(ctx, trialPollInterval)
 }
 
-// consult has what the holder knows of the request count before it is sent, once for each send, if
-// a server has ended under it. Many clients may have it at many instances at once, of which each
-// knows of one end only: sent without a question, it would end as many servers again. Without a
-// holder that answers it goes by what this instance knows: most requests under which one server
-// ended are not the cause.
-func (t *trip) consult(ctx context.Context) {
+// consultHolder consults the holder once before each send of a request under which a server has
+// crashed. Many clients may send the request to many instances at the same time, each of which
+// knows of only one crash: without consulting the holder, these sends would crash as many servers
+// again. If no holder answers, the decision is based on what this instance knows, since most
+// requests under which one server crashed are not the cause.
+func (t *transaction) consultHolder(ctx context.Context) {
 	fp := t.request.Fingerprint
-	if t.consulted > t.sends || !t.f.guard.Implicated(fp) {
+	if t.consultedForSend > t.sends || !t.f.guard.Implicated(fp) {
 		return
 	}
-	t.consulted = t.sends + 1
+	t.consultedForSend = t.sends + 1
 	if err := t.f.guard.Consult(ctx, fp); err != nil {
-		t.f.log.WithFields(t.fields()).WithField("error", err).Info("a server ended while the request ran there, and no holder says what else is known")
+		t.f.log.WithFields(t.logFields()).WithField("error", err).Info("server ended while the request ran there; holder could not be consulted")
 	}
 }
 
-// endTrial ends the trial of a suspect on a server, if there is one. ran: it was sent there, and may
-// have run. Only then is there a doubt: other answers that broke off there say nothing of a run that
-// never began.
-func (t *trip) endTrial(server serving.Server, ran bool) {
+// endTrial ends the trial of a suspect on a server, if there is one. ran states that the request
+// was sent there and may have run. Only then can the trial be inconclusive: other answers that
+// broke off on the server say nothing about a run that did not begin.
+func (t *transaction) endTrial(server serving.Server, ran bool) {
 	if t.trial.End != nil {
 		t.trial.End(ran && t.f.guard.Inconclusive(server))
 	}
 	t.trial = Trial{}
 }
 
-// passedTrial lets other suspects run on the server once this one has gone on for long enough.
-func (t *trip) passedTrial(now time.Time) {
-	if t.trial.End != nil && now.Sub(t.firstHere) > t.trial.Grace {
+// endTrialAfterGrace ends the trial once the suspect has run beyond its grace period, so that other
+// suspects can run on the server.
+func (t *transaction) endTrialAfterGrace(now time.Time) {
+	if t.trial.End != nil && now.Sub(t.firstEventAt) > t.trial.Grace {
 		t.trial.End(false)
 	}
 }
 
-// Bounds of the time that a request whose answer broke off waits for word of its server.
+// Time limits for the server check that a request waits for after its answer broke off.
 const (
-	// firstLookTime is for a clear one: a refused connection shows an end within milliseconds.
-	firstLookTime = 100 * time.Millisecond
-	// settleTime is for a suspect, which is to know whether the server has ended.
-	settleTime = 500 * time.Millisecond
+	// firstCheckTimeout applies to clear requests: a refused connection reveals a crash within
+	// milliseconds.
+	firstCheckTimeout = 100 * time.Millisecond
+	// suspectCheckTimeout applies to suspects, for which it has to be known whether the server has
+	// crashed.
+	suspectCheckTimeout = 500 * time.Millisecond
 )
 
-// recordFailure says how an attempt ended.
-func (t *trip) recordFailure(ctx context.Context, server serving.Server, failure *verdict.Failure) {
+// recordOutcome reports the outcome of an attempt to the guard, and waits for the check of the
+// server if the answer broke off.
+func (t *transaction) recordOutcome(ctx context.Context, server serving.Server, failure *verdict.Failure) {
 	fp := t.request.Fingerprint
 	if failure == nil {
 		if t.out.status < http.StatusMultipleChoices {
@@ -173,29 +183,29 @@
 		}
 		return
 	}
-	left := errors.Is(ctx.Err(), context.Canceled) || failure.Reason == verdict.ReasonCancelled
-	if failure.Verdict != verdict.MayHaveRun || ctx.Err() != nil && !left {
+	clientLeft := errors.Is(ctx.Err(), context.Canceled) || failure.Reason == verdict.ReasonCancelled
+	if failure.Verdict != verdict.MayHaveRun || ctx.Err() != nil && !clientLeft {
 		return
 	}
 	b := quarantine.BrokenAttempt{
-		Fingerprint: fp, Subject: subject(t.request), Server: server, Alone: t.trial.End != nil, Silent: failure.Silent, Left: left,
+		Fingerprint: fp, Subject: subject(t.request), Server: server, Alone: t.trial.End != nil, Silent: failure.Silent, Left: clientLeft,
 	}
-	if !t.firstHere.IsZero() {
-		b.Ran = clock.Since(t.firstHere)
+	if !t.firstEventAt.IsZero() {
+		b.Ran = clock.Since(t.firstEventAt)
 	}
 	check := t.f.guard.RecordFailure(b)
 	switch {
-	case left:
+	case clientLeft:
 	case t.f.guard.State(fp, t.service.Name) == quarantine.Clear:
-		awaitCheck(ctx, check.FirstLook, firstLookTime)
-	case !awaitCheck(ctx, check.Done, settleTime):
-		t.f.log.WithFields(t.fields()).WithFields(logrus.Fields{"server": server.ID}).Info("not known in time whether the server has ended")
+		awaitCheck(ctx, check.FirstLook, firstCheckTimeout)
+	case !awaitCheck(ctx, check.Done, suspectCheckTimeout):
+		t.f.log.WithFields(t.logFields()).WithFields(logrus.Fields{"server": server.ID}).Info("server check timed out; unknown whether the server has ended")
 	}
 }
 
-// awaitCheck waits for a check of a server for so long at the most, and reports whether it came.
-func awaitCheck(ctx context.Context, done <-chan struct{}, most time.Duration) bool {
-	timer := time.NewTimer(most)
+// awaitCheck waits for a check of a server for at most timeout, and reports whether it completed.
+func awaitCheck(ctx context.Context, done <-chan struct{}, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-done:
--- a/command/forward/guard_test.go
+++ b/command/forward/guard_test.go
@@ -11,26 +11,27 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// fakeGuard says what it is told to, and notes what it hears.
+// fakeGuard returns preset states and records its calls.
 type fakeGuard struct {
-	// states are returned one after the other, the last one again and again.
+	// states are returned one after the other; the last one is repeated.
 	states []quarantine.State
-	// busy is how often a trial is refused, err what it fails with after that.
+	// busy is how many times a trial is refused, and err the error of later calls of Try.
 	busy  int
 	err   error
 	ended map[string]bool
-	// implicates: servers end where answers break off. told are the states after a question
-	// to the holder, which fails with consultErr.
+	// implicates is set if servers crash when answers break off. statesFromHolder are the states
+	// after the holder was consulted, which fails with consultErr.
 	implicates bool
-	// inconclusive: answers broke off on each server, of which nobody knows whether it has ended.
-	inconclusive bool
-	told         []quarantine.State
-	consultErr   error
+	// inconclusive is set if answers broke off on every server and it is not known whether the
+	// servers have crashed.
+	inconclusive     bool
+	statesFromHolder []quarantine.State
+	consultErr       error
 
-	consulted, tries, answered, over int
-	// inconclusiveEnds counts the trials that ended in doubt.
+	consulted, tries, answered, trialsEnded int
+	// inconclusiveEnds is the number of trials that ended inconclusively.
 	inconclusiveEnds int
-	breaks           []quarantine.BrokenAttempt
+	failures         []quarantine.BrokenAttempt
 }
 
 func (g *fakeGuard) State(serving.Fingerprint, string) quarantine.State {
@@ -62,27 +63,27 @@
 }
 
 func (g *fakeGuard) endTrial(inconclusive bool) {
-	g.over++
+	g.trialsEnded++
 	if inconclusive {
 		g.inconclusiveEnds++
 	}
 }
 
 func (g *fakeGuard) RecordFailure(b quarantine.BrokenAttempt) CrashCheck {
-	g.breaks = append(g.breaks, b)
-	over := make(chan struct{})
-	close(over)
-	return CrashCheck{FirstLook: over, Done: over}
+	g.failures = append(g.failures, b)
+	closed := make(chan struct{})
+	close(closed)
+	return CrashCheck{FirstLook: closed, Done: closed}
 }
 
 func (g *fakeGuard) Implicated(serving.Fingerprint) bool {
-	return g.implicates && len(g.breaks) > 0
+	return g.implicates && len(g.failures) > 0
 }
 
 func (g *fakeGuard) Consult(context.Context, serving.Fingerprint) error {
 	g.consulted++
 	if g.consultErr == nil {
-		g.states = g.told
+		g.states = g.statesFromHolder
 	}
 	return g.consultErr
 }
@@ -91,9 +92,9 @@
 
 func (g *fakeGuard) Answered(serving.Fingerprint) { g.answered++ }
 
-// TestQuarantinedWhileItWaits: a request that is quarantined while it waits for a load, or
-// between two sends, is not sent, and its client is told for good.
-func TestQuarantinedWhileItWaits(t *testing.T) {
+// TestQuarantinedBeforeSend: a request that is quarantined while it waits for a load, or between
+// two sends, is not sent, and the refusal is permanent.
+func TestQuarantinedBeforeSend(t *testing.T) {
 	broken := reply{status: 200, events: true, body: "id: 1\n", broken: true}
 	tests := map[string]struct {
 		states []quarantine.State
@@ -112,7 +113,7 @@
 			f.placer.place = Place{Engine: "e1", Ready: time.Now().Add(300 * time.Millisecond)}
 			_, failure := f.serve("stream", test.model, 4*time.Second)
 			if failure == nil || failure.Reason != verdict.ReasonQuarantined || failure.RetryAfter != 0 {
-				t.Errorf("%s: %+v, want a refusal for good", name, failure)
+				t.Errorf("%s: %+v, want a permanent refusal", name, failure)
 			}
 			if len(f.servers.attempts) != test.sends {
 				t.Errorf("%s: %d sends, want %d", name, len(f.servers.attempts), test.sends)
@@ -121,8 +122,8 @@
 	}
 }
 
-// TestSuspectRunsAlone: a suspect waits until it may run, ends its trial, and is refused in
-// time where it may not run; nobody else is held up.
+// TestSuspectRunsAlone: a suspect waits until it may run and ends its trial, and is refused in time
+// if it may not run. Requests that are not suspects are not delayed.
 func TestSuspectRunsAlone(t *testing.T) {
 	stream := reply{status: 200, events: true, body: "id: 1\ndata: x\n\n"}
 	suspect := []quarantine.State{quarantine.Suspect}
@@ -134,7 +135,7 @@
 		atLeast, end time.Duration
 	}{
 		"alone at once": {states: suspect, sends: 1},
-		"after another": {states: suspect, busy: 3, sends: 1, atLeast: 3 * trialPause},
+		"after another": {states: suspect, busy: 3, sends: 1, atLeast: 3 * trialPollInterval},
 		"never":         {states: suspect, busy: 1000, reason: verdict.ReasonQueueFull, end: 2 * time.Second},
 		"nobody to ask": {states: suspect, err: ErrNoHolder, reason: verdict.ReasonPlatform, end: time.Millisecond},
 		"no suspect":    {busy: 1000, sends: 1},
@@ -143,31 +144,31 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t, stream)
 			f.guard.states, f.guard.busy, f.guard.err = test.states, test.busy, test.err
-			began := time.Now()
+			start := time.Now()
 			_, failure := f.serve("stream", "warm", 2*time.Second)
-			took := time.Since(began)
-			if len(f.servers.attempts) != test.sends || f.guard.over != f.guard.tries-min(test.busy, f.guard.tries) && test.err == nil {
-				t.Errorf("%s: %d sends, %d trials over of %d asked for", name, len(f.servers.attempts), f.guard.over, f.guard.tries)
+			duration := time.Since(start)
+			if len(f.servers.attempts) != test.sends || f.guard.trialsEnded != f.guard.tries-min(test.busy, f.guard.tries) && test.err == nil {
+				t.Errorf("%s: %d sends, %d of %d requested trials ended", name, len(f.servers.attempts), f.guard.trialsEnded, f.guard.tries)
 			}
 			if test.sends == 0 && (failure == nil || failure.Reason != test.reason || failure.Verdict != verdict.NotRun || failure.RetryAfter == 0) {
-				t.Errorf("%s: %+v, want a refusal for %s that says when to come back", name, failure, test.reason)
+				t.Errorf("%s: %+v, want a refusal for %s with a Retry-After", name, failure, test.reason)
 			}
 			if test.sends > 0 && (failure != nil || f.guard.answered != 1) {
 				t.Errorf("%s: %+v, %d times answered", name, failure, f.guard.answered)
 			}
-			if took < test.atLeast || test.end > 0 && took > test.end {
-				t.Errorf("%s: took %s", name, took)
+			if duration < test.atLeast || test.end > 0 && duration > test.end {
+				t.Errorf("%s: took %s", name, duration)
 			}
 		})
 	}
 }
 
-// TestBreaksAreReported: what breaks off is reported, with how long it had run;
-// refusals and answers are not.
-func TestBreaksAreReported(t *testing.T) {
+// TestBrokenAnswersReported: an answer that breaks off is reported to the guard; refusals and
+// complete answers are not.
+func TestBrokenAnswersReported(t *testing.T) {
 	tests := map[string]struct {
-		reply  reply
-		breaks int
+		reply    reply
+		failures int
 	}{
 		"no answer":          {reply{failure: mayHaveRun}, 1},
 		"refused connection": {reply{failure: notSent}, 0},
@@ -180,10 +181,10 @@
 			f := newFixture(t, test.reply)
 			f.guard.states = []quarantine.State{quarantine.Suspect}
 			_, _ = f.serve("once", "warm", 2*time.Second)
-			if len(f.guard.breaks) != test.breaks || f.guard.answered != 0 {
-				t.Errorf("%s: %d breaks, want %d; %d answered", name, len(f.guard.breaks), test.breaks, f.guard.answered)
+			if len(f.guard.failures) != test.failures || f.guard.answered != 0 {
+				t.Errorf("%s: %d broken answers, want %d; %d answered", name, len(f.guard.failures), test.failures, f.guard.answered)
 			}
-			for _, b := range f.guard.breaks {
+			for _, b := range f.guard.failures {
 				if b.Left || b.Server.ID == "" {
 					t.Errorf("%s: %+v", name, b)
 				}
@@ -192,8 +193,8 @@
 	}
 }
 
-// TestEndedServersAreNotAsked: a server that has ended is passed over while it is announced.
-func TestEndedServersAreNotAsked(t *testing.T) {
+// TestEndedServersSkipped: a server that has crashed is not chosen although it is still announced.
+func TestEndedServersSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, reply{status: 200, body: "done"})
 		f.guard.ended = map[string]bool{"s1": true, "s3": true}
@@ -204,49 +205,50 @@
 		}
 		for _, a := range f.servers.attempts {
 			if a.Server.ID != "s2" {
-				t.Fatalf("server %s was asked", a.Server.ID)
+				t.Fatalf("request was sent to %s", a.Server.ID)
 			}
 		}
 	})
 }
 
-// TestRepeatConsultsTheHolder: a request under which a server has ended is not sent once more
-// before the holder has said what else is known of it. Guards against requests that end a server
-// for each try of each client while the word of the first ends is on its way.
-func TestRepeatConsultsTheHolder(t *testing.T) {
+// TestResendConsultsHolder: a request under which a server has crashed is not sent again before the
+// holder has been consulted. Guards against requests that crash a server with each attempt of each
+// client while the reports of the first crashes are still being distributed.
+func TestResendConsultsHolder(t *testing.T) {
 	broken := reply{status: 200, events: true, body: "id: 1\n", broken: true}
 	whole := reply{status: 200, events: true, body: "id: 1\ndata: x\n\n"}
 	tests := map[string]struct {
-		told      quarantine.State
-		err       error
-		ended     bool
-		sends     int
-		consulted int
-		tries     int
+		fromHolder quarantine.State
+		err        error
+		ended      bool
+		sends      int
+		consulted  int
+		tries      int
 	}{
-		"nothing else known": {told: quarantine.Clear, ended: true, sends: 2, consulted: 1},
-		"a suspect":          {told: quarantine.Suspect, ended: true, sends: 2, consulted: 1, tries: 1},
-		"quarantined":        {told: quarantine.Quarantined, ended: true, sends: 1, consulted: 1},
+		"nothing else known": {fromHolder: quarantine.Clear, ended: true, sends: 2, consulted: 1},
+		"a suspect":          {fromHolder: quarantine.Suspect, ended: true, sends: 2, consulted: 1, tries: 1},
+		"quarantined":        {fromHolder: quarantine.Quarantined, ended: true, sends: 1, consulted: 1},
 		"no holder":          {err: ErrNoHolder, ended: true, sends: 2, consulted: 1},
 		"no end":             {sends: 2},
 	}
 	for name, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t, broken, whole)
-			f.guard.implicates, f.guard.told, f.guard.consultErr = test.ended, []quarantine.State{test.told}, test.err
+			f.guard.implicates, f.guard.statesFromHolder, f.guard.consultErr = test.ended, []quarantine.State{test.fromHolder}, test.err
 			_, _ = f.serve("stream", "warm", 4*time.Second)
 			if len(f.servers.attempts) != test.sends || f.guard.consulted != test.consulted || f.guard.tries != test.tries {
-				t.Errorf("%s: %d sends, %d questions, %d trials; want %d, %d and %d", name,
+				t.Errorf("%s: %d sends, %d consultations, %d trials; want %d, %d and %d", name,
 					len(f.servers.attempts), f.guard.consulted, f.guard.tries, test.sends, test.consulted, test.tries)
 			}
 		})
 	}
 }
 
-// TestTrialThatNeverRanIsNotInDoubt: a suspect that its server refused is free to run elsewhere at
-// once, though other answers broke off there. Guards against a request that is held for seconds and
-// ends its next server when it must not be sent any more (entry TestPoisonRequest).
-func TestTrialThatNeverRanIsNotInDoubt(t *testing.T) {
+// TestUnsentTrialIsConclusive: a suspect that was refused by its server may run elsewhere
+// immediately, although other answers broke off on that server. Guards against a request that is
+// held for seconds and then crashes its next server although it must no longer be sent (entry
+// TestPoisonRequest).
+func TestUnsentTrialIsConclusive(t *testing.T) {
 	tests := map[string]struct {
 		reply            reply
 		inconclusiveEnds int
@@ -261,8 +263,8 @@
 			f := newFixture(t, test.reply)
 			f.guard.states, f.guard.inconclusive = []quarantine.State{quarantine.Suspect}, true
 			_, _ = f.serve("once", "warm", time.Second)
-			if got := min(1, f.guard.inconclusiveEnds); f.guard.over == 0 || got != test.inconclusiveEnds {
-				t.Errorf("%s: %d of %d trials ended in doubt", name, f.guard.inconclusiveEnds, f.guard.over)
+			if got := min(1, f.guard.inconclusiveEnds); f.guard.trialsEnded == 0 || got != test.inconclusiveEnds {
+				t.Errorf("%s: %d of %d trials ended inconclusively", name, f.guard.inconclusiveEnds, f.guard.trialsEnded)
 			}
 		})
 	}
--- a/command/forward/intake_test.go
+++ b/command/forward/intake_test.go
@@ -15,16 +15,18 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// fakeIntake says what it is told to of servers.
+// fakeIntake returns preset limits of servers.
 type fakeIntake struct {
-	// rests is until when servers rest, and limits how many sends they still take.
+	// rests is until when each server must not be sent anything, and limits how many sends each one
+	// still accepts.
 	rests  map[string]time.Time
 	limits map[string]int
-	// after is when to ask again, spare what was asked for requests that can go elsewhere.
+	// after is when to ask again, and spare the number of requests for permission that could also
+	// be sent elsewhere.
 	after                  time.Duration
 	spare, returned, asked int
-	// meanwhile is called while a server is asked.
-	meanwhile func(s serving.Server)
+	// onAdmit is called during each request for permission.
+	onAdmit func(s serving.Server)
 }
 
 func (i *fakeIntake) RetryAfterUntil(s serving.Server) time.Time { return i.rests[s.ID] }
@@ -36,8 +38,8 @@
 
 func (i *fakeIntake) Admit(_ context.Context, s serving.Server, t quota.Turn, _ bool) Admission {
 	i.asked++
-	if i.meanwhile != nil {
-		i.meanwhile(s)
+	if i.onAdmit != nil {
+		i.onAdmit(s)
 	}
 	if t.Spare {
 		i.spare++
@@ -49,9 +51,10 @@
 	return Admission{Granted: true, GiveBack: func() { i.returned++ }}
 }
 
-// TestLimitedServerIsSpared: a server that limits what it takes gets what it lets through, and the
-// rest goes to others, at once; a send that reached no server is given back.
-func TestLimitedServerIsSpared(t *testing.T) {
+// TestServerLimitRespected: a server with a limit receives only what it admits, the other requests
+// are sent to other servers without delay, and the permission for a send that reached no server is
+// returned.
+func TestServerLimitRespected(t *testing.T) {
 	f := newFixture(t, reply{status: 200, body: "done"})
 	f.intake.limits, f.intake.after = map[string]int{"s1": 1}, time.Minute
 	sends := map[string]int{}
@@ -64,63 +67,65 @@
 		sends[a.Server.ID]++
 	}
 	if sends["s1"] != 1 || f.intake.spare == 0 {
-		t.Errorf("%v sent, want one to s1; asked as spare %d times", sends, f.intake.spare)
+		t.Errorf("%v sent, want one to s1; %d requests for spare capacity", sends, f.intake.spare)
 	}
 	f = newFixture(t, reply{failure: notSent}, reply{status: 200, body: "done"})
 	f.intake.limits = map[string]int{"s1": 9, "s2": 9, "s3": 9}
 	if _, failure := f.serve("unsafe", "", 0); failure != nil || f.intake.returned != 1 {
-		t.Errorf("%v, %d given back, want 1", failure, f.intake.returned)
+		t.Errorf("%v, %d permissions returned, want 1", failure, f.intake.returned)
 	}
 }
 
-// TestAllHeldBack: where no server takes anything a request is refused at once if it cannot be sent
-// in time, and told when it can; else it waits for its turn and is sent then.
-func TestAllHeldBack(t *testing.T) {
+// TestAllServersUnavailable: if no server accepts requests, a request is refused immediately with a
+// Retry-After if it cannot be sent in time. Otherwise it waits and is sent as soon as a server
+// accepts it.
+func TestAllServersUnavailable(t *testing.T) {
 	for _, service := range []struct{ route, model string }{{"unsafe", ""}, {"stream", "warm"}} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t, reply{status: 200, body: threeEvents, events: service.model != ""})
 			f.placer.err = ErrNoRoom
 			until := clock.Now().Add(3 * time.Second)
 			f.intake.rests = map[string]time.Time{"s1": until, "s2": until.Add(time.Second), "s3": until, "e1": until, "e2": until}
-			began := time.Now()
+			start := time.Now()
 			_, failure := f.serve(service.route, service.model, 0)
-			if failure == nil || failure.Reason != verdict.ReasonHeldBack || failure.Verdict != verdict.NotRun || time.Since(began) > 0 {
-				t.Fatalf("%s: %v after %s, want a refusal at once", service.route, failure, time.Since(began))
+			if failure == nil || failure.Reason != verdict.ReasonHeldBack || failure.Verdict != verdict.NotRun || time.Since(start) > 0 {
+				t.Fatalf("%s: %v after %s, want an immediate refusal", service.route, failure, time.Since(start))
 			}
 			if failure.RetryAfter < 3*time.Second || failure.RetryAfter > 4*time.Second {
-				t.Errorf("%s: told to come back after %s, want a time soon after the rest", service.route, failure.RetryAfter)
+				t.Errorf("%s: retry after %s, want a time soon after the servers accept requests again", service.route, failure.RetryAfter)
 			}
 			time.Sleep(2500 * time.Millisecond)
 			w, failure := f.serve(service.route, service.model, 0)
 			if failure != nil || w.Code != http.StatusOK || clock.Now().Before(until) {
-				t.Errorf("%s: %v, status %d, %s before the end of the rest", service.route, failure, w.Code, clock.Until(until))
+				t.Errorf("%s: %v, status %d, %s before the servers accept requests", service.route, failure, w.Code, clock.Until(until))
 			}
 		})
 	}
 }
 
-// TestServerLeavesMeanwhile: a server that is known to leave while it is asked whether it takes the request does not get it.
-func TestServerLeavesMeanwhile(t *testing.T) {
+// TestServerLeavesDuringAdmission: a request is not sent to a server that starts to leave while
+// permission is requested for it.
+func TestServerLeavesDuringAdmission(t *testing.T) {
 	f := newFixture(t, reply{status: 200, body: "done"})
 	f.intake.limits = map[string]int{"s1": 9, "s2": 9, "s3": 9}
-	left := ""
-	f.intake.meanwhile = func(s serving.Server) {
-		if left == "" {
-			left = s.ID
+	leaving := ""
+	f.intake.onAdmit = func(s serving.Server) {
+		if leaving == "" {
+			leaving = s.ID
 			f.dir.Leave(directory.Leaver{ID: s.ID, Born: s.Born}, clock.Now())
 		}
 	}
 	if _, failure := f.serve("unsafe", "", 0); failure != nil {
 		t.Fatal(failure)
 	}
-	if sent := f.servers.attempts[0].Server.ID; sent == left || f.intake.returned != 1 {
-		t.Errorf("sent to %s, which leaves; given back %d times, want 1", sent, f.intake.returned)
+	if sent := f.servers.attempts[0].Server.ID; sent == leaving || f.intake.returned != 1 {
+		t.Errorf("sent to %s, which is leaving; %d permissions returned, want 1", sent, f.intake.returned)
 	}
 }
 
-// TestRestAskedMeanwhile: a server that asks for rest while a request is on its way to it is not
-// sent what comes after, though it was chosen before.
-func TestRestAskedMeanwhile(t *testing.T) {
+// TestRetryAfterDuringRequest: a server that has rejected a request is not sent it again while all
+// others have set a Retry-After; the request is refused after one send.
+func TestRetryAfterDuringRequest(t *testing.T) {
 	f := newFixture(t, reply{status: 503, notRun: true}, reply{status: 200, body: "done"})
 	f.intake.rests = map[string]time.Time{"s2": clock.Now().Add(time.Minute), "s3": clock.Now().Add(time.Minute)}
 	_, failure := f.serve("unsafe", "", 0)
@@ -129,9 +134,10 @@
 	}
 }
 
-// TestRestIsNoFailure: a server that turned requests away and asked for rest gets its part again
-// once that is over. One that fails does not, as long as others do not.
-func TestRestIsNoFailure(t *testing.T) {
+// TestRetryAfterNotCountedAsFailure: a server that rejected requests with a Retry-After receives
+// its share again once that time has passed. A server that fails does not, as long as other servers
+// do not fail.
+func TestRetryAfterNotCountedAsFailure(t *testing.T) {
 	f := newFixture(t, reply{status: 200, body: "done"})
 	f.intake.rests = map[string]time.Time{"s2": clock.Now().Add(time.Minute), "s3": clock.Now().Add(time.Minute)}
 	f.servers.replies = []reply{{status: 503, notRun: true, rests: true}}
@@ -148,13 +154,13 @@
 		sends[a.Server.ID]++
 	}
 	if sends["s1"] < 10 {
-		t.Errorf("%v: the server that rested should get about a third", sends)
+		t.Errorf("%v: the server whose Retry-After has passed should receive about a third", sends)
 	}
 }
 
-// TestFewServersAreAsked: where all of many servers take no more, a request asks some of them and is
-// refused then.
-func TestFewServersAreAsked(t *testing.T) {
+// TestLimitedServersAskedBounded: if all of many servers are at their limits, a request asks only
+// some of them for permission and is then refused.
+func TestLimitedServersAskedBounded(t *testing.T) {
 	f := newFixture(t, reply{status: 200, body: "done"})
 	f.intake.limits, f.intake.after = map[string]int{"s1": 0, "s2": 0, "s3": 0}, time.Minute
 	for n := range 100 {
@@ -163,7 +169,7 @@
 		f.intake.limits[id] = 0
 	}
 	_, failure := f.serve("unsafe", "", 0)
-	if failure == nil || failure.Reason != verdict.ReasonHeldBack || f.intake.asked != mostTurns {
-		t.Errorf("%v after %d questions, want a refusal after %d", failure, f.intake.asked, mostTurns)
+	if failure == nil || failure.Reason != verdict.ReasonHeldBack || f.intake.asked != maxLimitedServers {
+		t.Errorf("%v after %d requests for permission, want a refusal after %d", failure, f.intake.asked, maxLimitedServers)
 	}
 }
--- a/command/forward/misdirected_test.go
+++ b/command/forward/misdirected_test.go
@@ -12,10 +12,10 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// replaced answers for servers of which some are gone: another has their address.
+// replaced answers for servers some of which are gone: another server now has their address.
 type replaced struct {
 	gone map[string]bool
-	// failing: those that are not gone answer with an error.
+	// failing is set if the remaining servers answer with an error.
 	failing bool
 }
 
@@ -30,16 +30,15 @@
 	return resp, nil
 }
 
-// TestReplacedServersGoBehind: clients of a plain service were refused at all instances
-// for as long as the entries of its killed servers stayed in the store, though their
-// successors answered. The successors had failed requests before, and that another
-// server has an address said nothing against the one that was announced there: so the
-// two that were gone were asked first each time, and the third send was beyond the
-// budget of repeated ones. The instances' logs had two sends to the servers that were
-// gone for each request, and then "the budget of repeated sends is spent".
-func TestReplacedServersGoBehind(t *testing.T) { synctest.Test(t, testReplacedServersGoBehind) }
+// TestMisdirectedServersRankLower guards against requests for a plain service that are refused at
+// all instances for as long as the records of killed servers stay in the store, although the
+// successors of these servers answer. The successors had failed requests before, and a misdirected
+// answer did not count against the server that was announced at the address. So the two servers
+// that were gone were tried first each time, and the third send exceeded the budget of repeated
+// sends.
+func TestMisdirectedServersRankLower(t *testing.T) { synctest.Test(t, testMisdirectedServersRankLower) }
 
-func testReplacedServersGoBehind(t *testing.T) {
+func testMisdirectedServersRankLower(t *testing.T) {
 	f := newFixture(t)
 	servers := &replaced{gone: map[string]bool{"s1": true, "s2": true}, failing: true}
 	f.forwarder.sender = servers
@@ -57,6 +56,6 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if answered < 25 {
-		t.Errorf("%d of 50 requests answered, want half at least: one server of three is well", answered)
+		t.Errorf("%d of 50 requests answered, want at least half: one of three servers works", answered)
 	}
 }
--- a/command/forward/overload.go
+++ b/command/forward/overload.go
@@ -9,17 +9,17 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// deferrable reports whether a route's requests may be refused for load. Those of the first
-// rank are not: engines admit them before all others.
+// deferrable reports whether requests of a route may be refused under overload. Requests of the
+// highest priority may not: engines admit them before all others.
 func deferrable(r *serving.Route) bool { return r.Priority > 0 }
 
-// overloadRetry is told to clients that are refused for load: about the time in which the
-// places of an engine turn over.
-const overloadRetry = 1500 * time.Millisecond
+// overloadRetryAfter is the Retry-After of requests refused under overload: about the time in which
+// all slots of an engine are freed and taken again.
+const overloadRetryAfter = 1500 * time.Millisecond
 
-// refuseOverload refuses a request, by chance, while more is asked for than the engines of
-// its model serve. One that an engine has had is not refused for that.
-func (t *trip) refuseOverload() *verdict.Failure {
+// refuseOverload refuses a random fraction of the requests while the demand for a model exceeds the
+// capacity of its engines. A request that has been sent to an engine before is not refused.
+func (t *transaction) refuseOverload() *verdict.Failure {
 	if !deferrable(t.route) || t.sends > 0 || t.out.started {
 		return nil
 	}
@@ -28,5 +28,5 @@
 		return nil
 	}
 	return verdict.Refuse(verdict.ReasonQueueFull, "more is asked of %s than its engines serve, %.2f of such requests are admitted",
-		t.request.Unit.Model, share).After(overloadRetry)
+		t.request.Unit.Model, share).After(overloadRetryAfter)
 }
--- a/command/forward/overload_test.go
+++ b/command/forward/overload_test.go
@@ -8,10 +8,10 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// TestOverloadIsRefusedAtOnce: a request for a model of which more is asked for than its
-// engines serve is refused at once, has not run, and is told when to come back. One of the
-// first rank, and one for another model, are sent.
-func TestOverloadIsRefusedAtOnce(t *testing.T) {
+// TestOverloadRefusedImmediately: a request for a model whose demand exceeds the capacity of its
+// engines is refused immediately as not run, with a Retry-After. Requests of the highest priority
+// and requests for other models are sent.
+func TestOverloadRefusedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
 			name     string
@@ -26,13 +26,13 @@
 			start := time.Now()
 			_, failure := f.serve("stream", "warm", 5*time.Second)
 			if refused := failure != nil; refused != c.refused || time.Since(start) > 10*time.Millisecond {
-				t.Errorf("%s: %v after %s, want refused %t, at once", c.name, failure, time.Since(start), c.refused)
+				t.Errorf("%s: %v after %s, want refused %t, immediately", c.name, failure, time.Since(start), c.refused)
 			}
 			if failure == nil {
 				continue
 			}
-			if failure.Verdict != verdict.NotRun || failure.Reason != verdict.ReasonQueueFull || failure.RetryAfter != overloadRetry {
-				t.Errorf("%s: %+v, want not run, and a time to come back", c.name, failure)
+			if failure.Verdict != verdict.NotRun || failure.Reason != verdict.ReasonQueueFull || failure.RetryAfter != overloadRetryAfter {
+				t.Errorf("%s: %+v, want not run, with a Retry-After", c.name, failure)
 			}
 			if len(f.servers.attempts) != 0 {
 				t.Errorf("%s: %d sends", c.name, len(f.servers.attempts))
@@ -41,9 +41,9 @@
 	})
 }
 
-// TestOldWordRefusesNothing: what the holder said of a model's load is not taken when it has
-// been silent for long.
-func TestOldWordRefusesNothing(t *testing.T) {
+// TestOutdatedAdmissionIgnored: the holder's last admission share for a model is not applied if the
+// holder has been silent for a long time.
+func TestOutdatedAdmissionIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, reply{status: 200, events: true, body: threeEvents})
 		f.dir.Config().Match("h", "/stream/").Priority = 1
--- a/command/forward/relay.go
+++ b/command/forward/relay.go
@@ -17,59 +17,63 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// writer is the client's side of a trip.
-type writer struct {
+// clientWriter writes the answer of a request to the client.
+type clientWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
-	// started: the head has been written, so the status can no longer change.
+	// started is set once the header has been written, so that the status can no longer change.
 	started bool
 	status  int
-	// written is when the client was last sent something.
-	written time.Time
-	// first is when the first event was passed on, and pause the longest time
-	// between two of them so far.
-	first time.Time
-	pause time.Duration
-	// lastEvent is the id of the last event passed on, "" before the first.
-	lastEvent string
+	// lastWrite is when data was last sent to the client.
+	lastWrite time.Time
+	// firstEvent is when the first event was relayed, and longestPause the longest time between two
+	// events so far.
+	firstEvent   time.Time
+	longestPause time.Duration
+	// lastEventID is the ID of the last event relayed, "" before the first.
+	lastEventID string
 }
 
-func newWriter(w http.ResponseWriter) *writer {
-	return &writer{ResponseWriter: w, control: http.NewResponseController(w)}
+// newClientWriter returns a clientWriter for w.
+func newClientWriter(w http.ResponseWriter) *clientWriter {
+	return &clientWriter{ResponseWriter: w, control: http.NewResponseController(w)}
 }
 
-func (w *writer) start(resp *serving.Response) {
+// start writes the header of the answer unless it has been written before.
+func (w *clientWriter) start(resp *serving.Response) {
 	if w.started {
-		return // a resumed stream keeps the head of its first engine
+		return // a resumed stream keeps the header of its first engine
 	}
 	header := w.Header()
 	for name, values := range resp.Header {
 		header[name] = values
 	}
-	w.started, w.status, w.written = true, resp.Status, clock.Now()
+	w.started, w.status, w.lastWrite = true, resp.Status, clock.Now()
 	w.WriteHeader(resp.Status)
 }
 
-// passedOn notes that an event was passed on.
-func (w *writer) passedOn(now time.Time) {
-	if w.first.IsZero() {
-		w.first = now
+// recordEventSent records that an event was relayed to the client.
+func (w *clientWriter) recordEventSent(now time.Time) {
+	if w.firstEvent.IsZero() {
+		w.firstEvent = now
 	} else {
-		w.pause = max(w.pause, now.Sub(w.written))
+		w.longestPause = max(w.longestPause, now.Sub(w.lastWrite))
 	}
-	w.written = now
+	w.lastWrite = now
 }
 
-// maxBuffered is the largest answer that is read whole before it is passed on.
-// One that breaks off by then leaves every choice open.
+// maxBuffered is the size in bytes up to which an answer is read completely before it is relayed.
+// If such an answer breaks off, nothing has been sent to the client yet and the request can still
+// be repeated.
 const maxBuffered = 64 << 10
 
-// relay passes an answer on. On failure the client may have a part of it.
-func (t *trip) relay(ctx context.Context, resp *serving.Response) *verdict.Failure {
-	_ = t.out.control.SetWriteDeadline(time.Now().Add(clock.Until(t.deadline) + writeSlack)) // without one a client that does not read is not noticed
+// relay relays an answer to the client. If it fails, the client may have received a part of the
+// answer.
+func (t *transaction) relay(ctx context.Context, resp *serving.Response) *verdict.Failure {
+	_ = t.out.control.SetWriteDeadline(time.Now().Add(clock.Until(t.deadline) + writeSlack)) // otherwise a client that does not read would not be detected
 	defer func() { _ = t.out.control.SetWriteDeadline(time.Time{}) }()
 	if resp.Status >= http.StatusInternalServerError && t.route.MayRepeat() && t.runs < t.route.Attempts && !t.out.started {
-		return t.holdBack(resp)
+		return t.withholdFailure(resp)
 	}
 	if resp.Events && resp.Status == http.StatusOK {
 		return t.relayEvents(ctx, resp)
@@ -80,31 +84,32 @@
 	return t.relayBody(resp)
 }
 
-// writeSlack is how long after the request's time a client may take to read.
+// writeSlack is how long after the request's deadline a client may take to read.
 const writeSlack = 500 * time.Millisecond
 
-// holdBack keeps an engine's failure from a client whose request may be tried
-// elsewhere. It is passed on after all if that is not possible.
-func (t *trip) holdBack(resp *serving.Response) *verdict.Failure {
+// withholdFailure does not relay an engine's failure if the request can be sent to another server.
+// Otherwise the failure is relayed.
+func (t *transaction) withholdFailure(resp *serving.Response) *verdict.Failure {
 	server, known := t.f.dir.Server(t.server)
 	others := len(t.f.dir.Servers(t.service.Name))
-	if !known || others < 2 || !t.draw() {
+	if !known || others < 2 || !t.drawRepeatedSend() {
 		return t.relayBody(resp)
 	}
-	t.prepaid = clock.Now()
+	t.drawnAt = clock.Now()
 	return verdict.New(verdict.Ran, verdict.ReasonBackend, "server %s answered with status %d", server.ID, resp.Status)
 }
 
-func (t *trip) relayBody(resp *serving.Response) *verdict.Failure {
-	head, err := io.ReadAll(io.LimitReader(resp.Body, maxBuffered))
+// relayBody relays an answer that is not a stream of events.
+func (t *transaction) relayBody(resp *serving.Response) *verdict.Failure {
+	prefix, err := io.ReadAll(io.LimitReader(resp.Body, maxBuffered))
 	if err != nil {
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonBackend, "the answer broke off: %v", err).From(err)
 	}
 	t.out.start(resp)
-	if _, err := t.out.Write(head); err != nil {
+	if _, err := t.out.Write(prefix); err != nil {
 		return clientGone(err)
 	}
-	if len(head) < maxBuffered {
+	if len(prefix) < maxBuffered {
 		return nil
 	}
 	if _, err := io.Copy(t.out, resp.Body); err != nil {
@@ -113,35 +118,36 @@
 	return nil
 }
 
+// clientGone returns the failure of a request whose answer could not be written to the client.
 func clientGone(err error) *verdict.Failure {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonCancelled, "the client does not take its answer: %v", err)
 }
 
-// relayEvents passes events on as they arrive, each whole.
-func (t *trip) relayEvents(ctx context.Context, resp *serving.Response) *verdict.Failure {
+// relayEvents relays events as they arrive, each one only once it is complete.
+func (t *transaction) relayEvents(ctx context.Context, resp *serving.Response) *verdict.Failure {
 	events := bufio.NewReader(resp.Body)
 	for {
 		e, err := readEvent(events)
 		if errors.Is(err, io.EOF) {
-			return t.endEvents(resp, e)
+			return t.finishEvents(resp, e)
 		}
 		if err != nil {
-			return verdict.New(verdict.MayHaveRun, verdict.ReasonBackend, "the stream broke off after event %q: %v", t.out.lastEvent, err).From(err)
+			return verdict.New(verdict.MayHaveRun, verdict.ReasonBackend, "the stream broke off after event %q: %v", t.out.lastEventID, err).From(err)
 		}
-		t.arrived(clock.Now())
-		if t.passed(e) {
+		t.recordEventReceived(clock.Now())
+		if t.alreadySent(e) {
 			continue // a resumed stream that repeats an event
 		}
 		t.out.start(resp)
 		if _, err := t.out.Write(e.raw); err != nil {
 			return clientGone(err)
 		}
-		t.out.passedOn(clock.Now())
+		t.out.recordEventSent(clock.Now())
 		if e.id != "" {
-			t.out.lastEvent = e.id
+			t.out.lastEventID = e.id
 		}
 		if events.Buffered() > 0 {
-			continue // flushed with what follows
+			continue // flushed together with the next event
 		}
 		if err := t.out.control.Flush(); err != nil {
 			return clientGone(err)
@@ -149,42 +155,42 @@
 	}
 }
 
-// arrived notes that the server has sent an event.
-func (t *trip) arrived(now time.Time) {
-	if t.firstHere.IsZero() {
-		t.firstHere = now
+// recordEventReceived records that the server has sent an event.
+func (t *transaction) recordEventReceived(now time.Time) {
+	if t.firstEventAt.IsZero() {
+		t.firstEventAt = now
 	}
-	t.passedTrial(now)
+	t.endTrialAfterGrace(now)
 }
 
-// endEvents ends a stream whose engine has ended it; rest is what follows the
-// last whole event.
-func (t *trip) endEvents(resp *serving.Response, rest streamEvent) *verdict.Failure {
+// finishEvents completes a stream that its engine has ended. rest is the data after the last
+// complete event.
+func (t *transaction) finishEvents(resp *serving.Response, rest streamEvent) *verdict.Failure {
 	if len(rest.raw) > 0 {
-		return verdict.New(verdict.MayHaveRun, verdict.ReasonBackend, "the stream ended within an event after %q", t.out.lastEvent)
+		return verdict.New(verdict.MayHaveRun, verdict.ReasonBackend, "the stream ended within an event after %q", t.out.lastEventID)
 	}
 	t.out.start(resp)
 	return nil
 }
 
-// passed reports whether the client has the event already.
-func (t *trip) passed(e streamEvent) bool {
-	last, err := strconv.ParseInt(t.out.lastEvent, 10, 64)
+// alreadySent reports whether the client has received the event before.
+func (t *transaction) alreadySent(e streamEvent) bool {
+	last, err := strconv.ParseInt(t.out.lastEventID, 10, 64)
 	if err != nil {
-		return false // none passed on yet
+		return false // no event relayed yet
 	}
 	id, err := strconv.ParseInt(e.id, 10, 64)
 	return err == nil && id <= last
 }
 
-// streamEvent is one event of a stream, as it came.
+// streamEvent is one event of a stream, as received.
 type streamEvent struct {
 	raw []byte
 	id  string
 }
 
-// readEvent reads up to and including the blank line that ends an event. At the
-// end of the stream it returns io.EOF with what was left.
+// readEvent reads up to and including the blank line that ends an event. At the end of the stream
+// it returns io.EOF together with the remaining data.
 func readEvent(r *bufio.Reader) (streamEvent, error) {
 	var e streamEvent
 	for {
--- a/command/forward/route_test.go
+++ b/command/forward/route_test.go
@@ -9,8 +9,8 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// TestNoConfiguration: an instance that knows no configuration yet refuses, and
-// does not say that there is no such route.
+// TestNoConfiguration: an instance that has no configuration yet refuses requests temporarily and
+// does not claim that there is no such route.
 func TestNoConfiguration(t *testing.T) {
 	f := newFixture(t, reply{status: 200})
 	f.forwarder.dir = directory.New()
@@ -21,7 +21,7 @@
 	}
 }
 
-// TestNoRoute: an unknown path is a client's fault; no configuration is not.
+// TestNoRoute: an unknown path is the client's error; a missing configuration is not.
 func TestNoRoute(t *testing.T) {
 	f := newFixture(t, reply{status: 200})
 	if _, failure := f.serve("nowhere", "", 0); failure == nil || failure.Reason != verdict.ReasonNoRoute {
@@ -30,19 +30,20 @@
 	f.forwarder.dir = directory.New()
 	f.access.dir = f.forwarder.dir
 	if _, failure := f.serve("safe", "", 0); failure == nil || failure.Verdict != verdict.NotRun || failure.RetryAfter == 0 {
-		t.Errorf("%v, want a refusal with a time to come back", failure)
+		t.Errorf("%v, want a refusal with a Retry-After", failure)
 	}
 }
 
-// TestNoRouteByOldConfiguration: a path that the configuration in force does not have is refused for
-// good only while that is certainly the newest. Guards against a 404, after which clients do not come
-// again, for a service that a configuration has which the instance has not heard of.
-func TestNoRouteByOldConfiguration(t *testing.T) {
+// TestNoRouteWithOutdatedConfiguration: a path that is not in the configuration in force is refused
+// permanently only while that configuration is known to be the newest. Guards against a 404, after
+// which clients do not retry, for a service that is in a newer configuration that the instance has
+// not received yet.
+func TestNoRouteWithOutdatedConfiguration(t *testing.T) {
 	const inForce = 2 * time.Second
 	tests := map[string]struct {
-		known   access.Knowledge
-		policy  access.Policy
-		forGood bool
+		known     access.Knowledge
+		policy    access.Policy
+		permanent bool
 	}{
 		"current":                       {access.Knowledge{Age: time.Second}, access.Policy{InForce: inForce}, true},
 		"older than one may take":       {access.Knowledge{Age: inForce}, access.Policy{InForce: inForce}, false},
@@ -58,8 +59,8 @@
 		if failure == nil || failure.Verdict != verdict.NotRun {
 			t.Fatalf("%s: %v", name, failure)
 		}
-		if forGood := failure.Reason == verdict.ReasonNoRoute; forGood != test.forGood || forGood == (failure.RetryAfter > 0) {
-			t.Errorf("%s: %s, retry after %s; want for good: %v", name, failure.Reason, failure.RetryAfter, test.forGood)
+		if permanent := failure.Reason == verdict.ReasonNoRoute; permanent != test.permanent || permanent == (failure.RetryAfter > 0) {
+			t.Errorf("%s: %s, retry after %s; want permanent: %v", name, failure.Reason, failure.RetryAfter, test.permanent)
 		}
 	}
 }
--- a/command/forward/suspended_test.go
+++ b/command/forward/suspended_test.go
@@ -10,13 +10,13 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// TestSuspendedInstance: a request that waits for a load while the machine is suspended is
-// sent with the time that is left by the client's account, and not at all once that is over.
+// TestSuspendedInstance: a request that waits for a load while the machine is suspended is sent
+// with the time remaining by the client's clock, and is not sent if that time has passed.
 func TestSuspendedInstance(t *testing.T) {
 	tests := map[string]struct {
-		suspended time.Duration
-		sends     int
-		left      time.Duration
+		suspended    time.Duration
+		sends        int
+		maxRemaining time.Duration
 	}{
 		"not at all": {0, 1, 3700 * time.Millisecond},
 		"for a time": {2 * time.Second, 1, 1700 * time.Millisecond},
@@ -38,12 +38,12 @@
 			}
 			if test.sends == 0 {
 				if failure == nil || failure.Reason != verdict.ReasonDeadline || failure.Verdict != verdict.NotRun {
-					t.Errorf("%s: %v, want a refusal for time", name, failure)
+					t.Errorf("%s: %v, want a refusal for the deadline", name, failure)
 				}
 				return
 			}
-			if left := f.servers.attempts[0].Left; left > test.left {
-				t.Errorf("%s: the server is told %s are left, want at most %s", name, left, test.left)
+			if left := f.servers.attempts[0].Left; left > test.maxRemaining {
+				t.Errorf("%s: sent with %s remaining, want at most %s", name, left, test.maxRemaining)
 			}
 		})
 	}
--- /dev/null
+++ b/command/forward/transaction.go
@@ -0,0 +1,385 @@
+package forward
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
+
+	"github.com/martenport/martenport/command/balance"
+	"github.com/martenport/martenport/internal/clock"
+	"github.com/martenport/martenport/serving"
+	"github.com/martenport/martenport/verdict"
+)
+
+// transaction is the processing of one request by this instance: all its sends to servers until the
+// final answer.
+type transaction struct {
+	f *Forwarder
+	admission
+	service serving.Service
+	request *serving.Request
+	out     *clientWriter
+	// deadline is when the final answer is due: the earlier of the client's and the route's
+	// deadline.
+	deadline time.Time
+
+	// sends is the number of sends that reached a server, and runs the number of those that may
+	// have run.
+	sends, runs int
+	// mayHaveRun is set if a send may have run, so that the request must not be reported as not
+	// run.
+	mayHaveRun bool
+	// drawnAt is when the next send was drawn from the budget in advance; zero if it was not.
+	drawnAt time.Time
+	// excluded are the IDs of servers to which the request is not sent again.
+	excluded map[string]bool
+	// consultedForSend is the number of the send, from 1, before which the holder was last
+	// consulted.
+	consultedForSend int
+	// missing is the ID of the last engine that did not have the unit.
+	missing string
+	// unreachable is the ID of the last engine to which no connection could be made.
+	unreachable string
+	// soleReplica is set if the chosen engine is the only one known to have the unit.
+	soleReplica bool
+	// retryPauses is the number of pauses so far before a server was asked again.
+	retryPauses int
+	// waits records what the request waited for, and how long.
+	waits waitTimes
+	// server is the ID of the server to which the request was last sent.
+	server string
+	// firstEventAt is when the current server sent its first event; zero before.
+	firstEventAt time.Time
+	// serverLimits is the state of the servers that limit the requests they accept.
+	serverLimits limitedServers
+	// trial is the permission of a suspect to run; zero if there is none.
+	trial Trial
+	// last is the failure of the last attempt; nil before.
+	last *verdict.Failure
+}
+
+// newTransaction returns the transaction of an admitted request, and records the request for the
+// budget and for demand forecasts.
+func (f *Forwarder) newTransaction(a admission, r *serving.Request, w http.ResponseWriter) *transaction {
+	route := a.route
+	t := &transaction{
+		f: f, admission: a, request: r, out: newClientWriter(w), excluded: map[string]bool{},
+		service: a.config.Services[chooseTarget(route.Targets)],
+	}
+	allowed := route.Timeout
+	if r.Timeout > 0 && (allowed == 0 || r.Timeout < allowed) {
+		allowed = r.Timeout
+	}
+	if allowed == 0 {
+		allowed = defaultTimeout
+	}
+	t.deadline = r.Arrived.Add(allowed)
+	f.budget.RecordRequest(t.service.Name, r.Arrived)
+	if t.service.Engine != nil && r.Unit.Model != "" {
+		f.placer.Arrived(r.Unit, Urgency{Priority: route.Priority, Deferrable: deferrable(route), Late: t.lateProbability()})
+	}
+	return t
+}
+
+// nextOutputDeadline returns when the client gives up if it has received nothing more by then.
+func (t *transaction) nextOutputDeadline() time.Time {
+	if t.route.Patience == 0 {
+		return t.deadline
+	}
+	last := t.request.Arrived
+	if t.out.started {
+		last = t.out.lastWrite
+	}
+	if giveUp := last.Add(t.route.Patience); giveUp.Before(t.deadline) {
+		return giveUp
+	}
+	return t.deadline
+}
+
+// defaultTimeout applies to requests for which neither the client nor the route sets a timeout.
+const defaultTimeout = 30 * time.Second
+
+// run sends the request to one server after another until it is answered or cannot be sent again.
+func (t *transaction) run(ctx context.Context) *verdict.Failure {
+	for {
+		if failure := t.f.drainingFailure(); failure != nil {
+			return t.finalFailure(ctx, failure)
+		}
+		if failure := t.quarantineFailure(); failure != nil {
+			return t.finalFailure(ctx, failure)
+		}
+		server, failure := t.choose(ctx)
+		if failure != nil {
+			return t.finalFailure(ctx, failure)
+		}
+		if failure := t.deadlineFailure(); failure != nil {
+			return t.finalFailure(ctx, failure)
+		}
+		admitted, failure := t.checkQuarantine(ctx, server)
+		if failure != nil {
+			return t.finalFailure(ctx, failure)
+		}
+		if !admitted {
+			continue
+		}
+		if !t.admitByServer(ctx, server) || t.isLeaving(server) {
+			t.refundAdmission()
+			t.endTrial(server, false)
+			continue
+		}
+		if !t.withinBudget() {
+			t.refundAdmission()
+			t.endTrial(server, false)
+			return t.finalFailure(ctx, t.lastFailure("the budget of repeated sends is spent"))
+		}
+		answered, failure := t.attempt(ctx, server)
+		t.serverLimits.refund = nil
+		if answered {
+			return nil
+		}
+		t.last = failure
+		if ctx.Err() != nil || !t.mayResend(failure) {
+			return t.finalFailure(ctx, failure)
+		}
+		t.f.log.WithFields(t.logFields()).WithFields(logrus.Fields{"server": server.ID, "verdict": failure.Verdict}).
+			Info("sending request again: " + failure.Detail)
+	}
+}
+
+// deadlineFailure refuses a request whose deadline has passed although its context has not ended:
+// context timers do not advance while the machine is suspended.
+func (t *transaction) deadlineFailure() *verdict.Failure {
+	if clock.Exact().Before(t.deadline) {
+		return nil
+	}
+	return verdict.Refuse(verdict.ReasonDeadline, "the time was over before the request could be sent")
+}
+
+// withinBudget reports whether the next send may be made. Every send after the first is drawn from
+// the budget of repeated sends, unless that was done in advance.
+func (t *transaction) withinBudget() bool {
+	drawn := clock.Since(t.drawnAt) < drawValidity
+	t.drawnAt = time.Time{}
+	return t.sends == 0 || drawn || t.drawRepeatedSend()
+}
+
+// drawValidity is how long after its draw the next send may be made. If draws remained valid while
+// requests wait for a model to be loaded, which takes seconds, sends that accrued in two windows
+// would be made in one.
+const drawValidity = 500 * time.Millisecond
+
+// drawRepeatedSend draws one more send from the budget, and logs the state of the bucket: a
+// violation of the bound over all instances can be traced only with the state of each instance.
+func (t *transaction) drawRepeatedSend() bool {
+	now := clock.Now()
+	allowed := t.f.budget.Take(t.service.Name, now)
+	t.f.counts.repeatedSend(t.service.Name, allowed)
+	s := t.f.budget.Spending(t.service.Name, now)
+	t.f.log.WithFields(logrus.Fields{
+		"request": t.request.ID, "service": t.service.Name, "allowed": allowed, "requests": s.Requests, "repeats": s.Repeats,
+		"left": s.Level, "instances": s.Instances, "age_ms": s.Age.Milliseconds(),
+	}).Info("repeated send drawn from the budget")
+	return allowed
+}
+
+// mayResend reports whether the request may be sent again after failure.
+func (t *transaction) mayResend(failure *verdict.Failure) bool {
+	if failure.Verdict == verdict.NotRun {
+		return true
+	}
+	return t.route.MayRepeat() && t.runs < t.route.Attempts
+}
+
+// lastFailure returns the failure of the last attempt, extended by the reason why the request is not
+// sent again.
+func (t *transaction) lastFailure(reason string) *verdict.Failure {
+	if t.last == nil {
+		return verdict.Refuse(verdict.ReasonBackend, "%s", reason)
+	}
+	return verdict.New(t.last.Verdict, t.last.Reason, "%s; %s", t.last.Detail, reason).After(t.f.params.RetryPause)
+}
+
+// finalFailure converts the last failure into the one reported to the client.
+func (t *transaction) finalFailure(ctx context.Context, failure *verdict.Failure) *verdict.Failure {
+	f := *failure
+	if t.mayHaveRun && f.Verdict == verdict.NotRun {
+		f.Verdict = verdict.MayHaveRun
+	}
+	switch {
+	case errors.Is(ctx.Err(), context.Canceled):
+		f.Reason = verdict.ReasonCancelled
+	case t.out.started:
+		f.Reason = verdict.ReasonBroken
+	case errors.Is(ctx.Err(), context.DeadlineExceeded):
+		f.Reason = verdict.ReasonDeadline
+	}
+	return &f
+}
+
+// attempt sends the request to a server and relays the answer. answered states that the client has
+// its answer.
+func (t *transaction) attempt(ctx context.Context, server serving.Server) (answered bool, failure *verdict.Failure) {
+	t.server, t.firstEventAt = server.ID, time.Time{}
+	now := clock.Now()
+	requestCtx := ctx
+	defer func() { t.endTrial(server, failure != nil && failure.Verdict == verdict.MayHaveRun) }()
+	defer func() { t.recordOutcome(requestCtx, server, failure) }()
+	balancerDone := t.f.balancer.Start(server.ID, server.FailureDomain)
+	placerDone := func(bool) {}
+	if t.request.Unit.Model != "" {
+		placerDone = t.f.placer.Started(Run{Engine: server.ID, Unit: t.request.Unit, Deferrable: deferrable(t.route), Only: t.soleReplica})
+	}
+	outcome := balance.Neutral
+	defer func() {
+		placerDone(outcome == balance.Succeeded)
+		balancerDone(outcome, clock.Now())
+	}()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	resp, err := t.f.sender.Send(ctx, serving.Attempt{
+		Request: t.request, Server: server, Left: t.deadline.Sub(now), Urgency: urgency(t.route), ResumeAfter: t.out.lastEventID,
+		Guarded: t.config.Guarded(), Workspace: t.workspaceName(),
+	})
+	if err != nil {
+		return false, t.handleSendFailure(ctx, server, err, now, &outcome)
+	}
+	defer resp.Body.Close()
+	if resp.NotRun {
+		outcome = rejectionOutcome(resp)
+		return false, t.handleNotRun(server, resp, &outcome)
+	}
+	t.sends++
+	t.runs++
+	t.mayHaveRun = true
+	failure = t.relay(ctx, resp)
+	outcome = t.answerOutcome(ctx, resp, failure)
+	if failure != nil {
+		t.excluded[server.ID] = true
+	}
+	return failure == nil, failure
+}
+
+// maxUrgency is the lowest priority that engines support.
+const maxUrgency = 9
+
+// urgency returns the priority of a request at an engine, which is that of its route.
+func urgency(r *serving.Route) int { return min(maxUrgency, max(0, r.Priority)) }
+
+// silenceThreshold is how long a server must have had a request for its silence to count: many
+// times what an engine with a free slot takes to its first event.
+const silenceThreshold = time.Second
+
+// handleSendFailure handles a send without an answer.
+func (t *transaction) handleSendFailure(ctx context.Context, server serving.Server, err error, sent time.Time, outcome *balance.Outcome) *verdict.Failure {
+	failure := verdict.Of(err)
+	t.excluded[server.ID] = true
+	switch {
+	case !errors.Is(ctx.Err(), context.Canceled):
+		*outcome = balance.Unreachable
+	case clock.Since(sent) >= silenceThreshold:
+		*outcome = balance.Silent
+	}
+	if failure.Verdict == verdict.NotRun {
+		t.refundAdmission()
+		t.unreachable = server.ID
+	} else {
+		t.sends++
+		t.runs++
+		t.mayHaveRun = true
+	}
+	return failure
+}
+
+// rejectionOutcome returns the outcome for the balancer if the server rejected the request without
+// running it. A server that sets a Retry-After is not counted as failing: it receives nothing until
+// then, and afterwards its previous share again.
+func rejectionOutcome(resp *serving.Response) balance.Outcome {
+	if resp.Rests {
+		return balance.Neutral
+	}
+	return balance.Failed
+}
+
+// handleNotRun handles an answer that states that the server has not run the request.
+func (t *transaction) handleNotRun(server serving.Server, resp *serving.Response, outcome *balance.Outcome) *verdict.Failure {
+	t.sends++
+	t.excluded[server.ID] = true
+	// From an engine, such an answer means that it lacks the unit. A plain server is not the one
+	// that was announced at its address. This has to count as a failure: otherwise the record of a
+	// server that is gone is preferred to its successor for as long as it stays in the directory.
+	if resp.Misdirected && t.request.Unit.Model != "" {
+		*outcome = balance.Neutral
+		t.missing = server.ID
+		t.f.dir.Lacks(server.ID, t.request.Unit, clock.Now())
+	}
+	return verdict.Refuse(verdict.ReasonBackend, "server %s has not run it: status %d", server.ID, resp.Status)
+}
+
+// answerOutcome returns the outcome of an answer for the balancer.
+func (t *transaction) answerOutcome(ctx context.Context, resp *serving.Response, failure *verdict.Failure) balance.Outcome {
+	switch {
+	case errors.Is(ctx.Err(), context.Canceled) && failure != nil, resp.Rests:
+		return balance.Neutral
+	case failure != nil || resp.Status >= http.StatusInternalServerError:
+		return balance.Failed
+	default:
+		return balance.Succeeded
+	}
+}
+
+// pauseFor pauses for d. It fails if the request ends first or the instance shuts down.
+func (t *transaction) pauseFor(ctx context.Context, d time.Duration) *verdict.Failure {
+	if d <= 0 {
+		return nil
+	}
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-t.f.leaving:
+		return t.f.drainingFailure()
+	case <-ctx.Done():
+	}
+	return verdict.Refuse(verdict.ReasonDeadline, "the time was over after %s of waiting", clock.Since(t.request.Arrived).Round(time.Millisecond))
+}
+
+// logFields returns the fields that identify the request in log lines.
+func (t *transaction) logFields() logrus.Fields {
+	fields := logrus.Fields{
+		"request": t.request.ID, "route": t.route.Name, "config": t.config.Version, "sends": t.sends,
+		"ms": clock.Since(t.request.Arrived).Milliseconds(), "fingerprint": t.request.Fingerprint,
+	}
+	if t.request.Unit.Model != "" {
+		fields["unit"] = t.request.Unit.String()
+	}
+	if name := t.workspaceName(); name != "" {
+		fields["workspace"] = name
+	}
+	return fields
+}
+
+// finish counts and logs the outcome of the request.
+func (t *transaction) finish(failure *verdict.Failure) {
+	t.f.counts.requestEnded(failure, clock.Since(t.request.Arrived))
+	log := t.f.log.WithFields(t.logFields()).WithFields(logrus.Fields{
+		"server": t.server, "waited_ms": t.waits.total().Milliseconds(), "waited_for": t.waits.longestCause(), "promised_ms": t.waits.estimate.Milliseconds(),
+		"priority": t.route.Priority, "objective_ms": t.route.Objective.Milliseconds(),
+	})
+	if !t.out.firstEvent.IsZero() {
+		log = log.WithFields(logrus.Fields{"first_ms": t.out.firstEvent.Sub(t.request.Arrived).Milliseconds(), "pause_ms": t.out.longestPause.Milliseconds()})
+	}
+	if held := t.serverLimits.unavailableServers(); held != "" {
+		log = log.WithField("held_back", held)
+	}
+	if failure == nil {
+		log.WithField("status", t.out.status).Info("request answered")
+		return
+	}
+	log.WithFields(logrus.Fields{
+		"verdict": failure.Verdict, "reason": failure.Reason, "retry_after_ms": failure.RetryAfter.Milliseconds(),
+	}).Info("request not answered: " + failure.Detail)
+}
--- a/command/forward/waits.go
+++ b/command/forward/waits.go
@@ -6,63 +6,65 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// waits is what one request has waited for.
-type waits struct {
-	// now is what it waits for, and spent how long it has waited for each.
-	now   serving.Wait
-	spent map[serving.Wait]time.Duration
-	// promised is the time that it was told first.
-	promised time.Duration
+// waitTimes records what one request has waited for and for how long.
+type waitTimes struct {
+	// current is the cause of the current wait, and durations the time waited for each cause.
+	current   serving.Wait
+	durations map[serving.Wait]time.Duration
+	// estimate is the first estimate of the waiting time.
+	estimate time.Duration
 }
 
-// next notes what the request waits for from here on. A load under way is named only
-// if nothing is known of where it is from.
-func (w *waits) next(cause serving.Wait) {
-	if cause != "" && (cause != serving.WaitLoad || w.now == "") {
-		w.now = cause
+// setCause sets the cause of the current wait. WaitLoad is set only if no cause is known yet: it is
+// less specific than the others.
+func (w *waitTimes) setCause(cause serving.Wait) {
+	if cause != "" && (cause != serving.WaitLoad || w.current == "") {
+		w.current = cause
 	}
 }
 
-// expect notes how long the request is told to wait.
-func (w *waits) expect(wait time.Duration) {
-	if w.promised == 0 {
-		w.promised = wait
+// setEstimate records the estimated waiting time; only the first estimate is kept.
+func (w *waitTimes) setEstimate(wait time.Duration) {
+	if w.estimate == 0 {
+		w.estimate = wait
 	}
 }
 
-func (w *waits) add(d time.Duration) {
-	if w.spent == nil {
-		w.spent = map[serving.Wait]time.Duration{}
+// add adds to the time waited for the current cause.
+func (w *waitTimes) add(d time.Duration) {
+	if w.durations == nil {
+		w.durations = map[serving.Wait]time.Duration{}
 	}
-	w.spent[w.now] += d
+	w.durations[w.current] += d
 }
 
-func (w *waits) total() time.Duration {
+// total returns the total waiting time.
+func (w *waitTimes) total() time.Duration {
 	total := time.Duration(0)
-	for _, d := range w.spent {
+	for _, d := range w.durations {
 		total += d
 	}
 	return total
 }
 
-// longest is what the request waited for most, or what it was refused for at once;
-// empty if it did not wait.
-func (w *waits) longest() serving.Wait {
-	if len(w.spent) == 0 {
-		return w.now
+// longestCause returns the cause that the request waited for longest. If the request did not wait,
+// it is the cause of its immediate refusal, or empty.
+func (w *waitTimes) longestCause() serving.Wait {
+	if len(w.durations) == 0 {
+		return w.current
 	}
 	var longest serving.Wait
-	for cause, d := range w.spent {
-		if longest == "" || d > w.spent[longest] {
+	for cause, d := range w.durations {
+		if longest == "" || d > w.durations[longest] {
 			longest = cause
 		}
 	}
 	return longest
 }
 
-// ended counts by how much the first promise was wrong.
-func (w *waits) ended(counts *Counts) {
-	if w.promised > 0 {
-		counts.prospect(w.promised, w.total())
+// recordEstimateError records the error of the first estimate.
+func (w *waitTimes) recordEstimateError(counts *Counts) {
+	if w.estimate > 0 {
+		counts.waitEstimateError(w.estimate, w.total())
 	}
 }
--- a/command/forward/waits_test.go
+++ b/command/forward/waits_test.go
@@ -9,57 +9,57 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// TestWaits: what a request waited for longest is named, a load under way only if
-// nothing else is known of it, and a request that was refused at once names what for.
-func TestWaits(t *testing.T) {
-	var w waits
-	if w.longest() != "" || w.total() != 0 {
-		t.Errorf("waited %s for %q before it began", w.total(), w.longest())
+// TestWaitTimes: the cause that a request waited for longest is reported, WaitLoad only if no other
+// cause is known, and the cause of an immediate refusal if the request did not wait.
+func TestWaitTimes(t *testing.T) {
+	var w waitTimes
+	if w.longestCause() != "" || w.total() != 0 {
+		t.Errorf("waited %s for %q before it began", w.total(), w.longestCause())
 	}
-	w.next(serving.WaitLoad)
-	w.next(serving.WaitCopies)
-	if w.longest() != serving.WaitCopies {
-		t.Errorf("refused for %q", w.longest())
+	w.setCause(serving.WaitLoad)
+	w.setCause(serving.WaitCopies)
+	if w.longestCause() != serving.WaitCopies {
+		t.Errorf("refused for %q", w.longestCause())
 	}
 	w.add(300 * time.Millisecond)
-	w.next(serving.WaitLoad)
+	w.setCause(serving.WaitLoad)
 	w.add(300 * time.Millisecond)
-	w.next(serving.WaitHolder)
+	w.setCause(serving.WaitHolder)
 	w.add(500 * time.Millisecond)
-	if w.longest() != serving.WaitCopies || w.total() != 1100*time.Millisecond {
-		t.Errorf("waited %s, longest for %q", w.total(), w.longest())
+	if w.longestCause() != serving.WaitCopies || w.total() != 1100*time.Millisecond {
+		t.Errorf("waited %s, longest for %q", w.total(), w.longestCause())
 	}
 }
 
-// TestProspectError: by how much a wait ended later or sooner than first promised is
-// counted on its side.
-func TestProspectError(t *testing.T) {
+// TestWaitEstimateError: the difference between the first estimate and the actual wait is recorded
+// in the histogram for its sign.
+func TestWaitEstimateError(t *testing.T) {
 	counts := NewCounts(metrics.NewSet())
 	for _, waited := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second} {
-		var w waits
-		w.expect(2 * time.Second)
-		w.expect(time.Minute) // only the first promise counts
+		var w waitTimes
+		w.setEstimate(2 * time.Second)
+		w.setEstimate(time.Minute) // only the first estimate counts
 		w.add(waited)
-		w.ended(counts)
+		w.recordEstimateError(counts)
 	}
-	seen := map[*metrics.Histogram]int{}
-	for _, h := range []*metrics.Histogram{counts.later, counts.sooner} {
-		h.VisitNonZeroBuckets(func(_ string, n uint64) { seen[h] += int(n) })
+	observed := map[*metrics.Histogram]int{}
+	for _, h := range []*metrics.Histogram{counts.waitedLonger, counts.waitedShorter} {
+		h.VisitNonZeroBuckets(func(_ string, n uint64) { observed[h] += int(n) })
 	}
-	if seen[counts.later] != 2 || seen[counts.sooner] != 1 {
-		t.Errorf("%d ended later and %d sooner, want 2 and 1", seen[counts.later], seen[counts.sooner])
+	if observed[counts.waitedLonger] != 2 || observed[counts.waitedShorter] != 1 {
+		t.Errorf("%d longer and %d shorter, want 2 and 1", observed[counts.waitedLonger], observed[counts.waitedShorter])
 	}
 }
 
-// TestTotalsAddUp: at every moment each accepted request counts once: as running or by
-// its end. Found in CI beside load, where a request that had just ended was counted
-// twice, by its end and by its connection.
-func TestTotalsAddUp(t *testing.T) {
+// TestTotalsConsistent: at any time each accepted request is counted once, either as running or by
+// its outcome. Guards against a request that has just ended being counted twice, by its outcome and
+// by its connection; found in CI on a loaded machine.
+func TestTotalsConsistent(t *testing.T) {
 	f := newFixture(t, reply{status: 200, body: "done"})
 	stop := make(chan struct{})
-	wrong := make(chan Totals, 1)
+	inconsistent := make(chan Totals, 1)
 	go func() {
-		defer close(wrong)
+		defer close(inconsistent)
 		for {
 			select {
 			case <-stop:
@@ -67,7 +67,7 @@
 			default:
 			}
 			if c := f.forwarder.counts.Totals(); c.Running < 0 || c.Accepted != c.Answered+c.Refused+c.Failed+c.Cancelled+c.Running {
-				wrong <- c
+				inconsistent <- c
 				return
 			}
 		}
@@ -77,7 +77,7 @@
 		f.serve("nowhere", "", 0)
 	}
 	close(stop)
-	if c, found := <-wrong; found {
+	if c, found := <-inconsistent; found {
 		t.Errorf("%+v do not add up", c)
 	}
 	if c := f.forwarder.counts.Totals(); c.Accepted != 400 || c.Answered != 200 || c.Refused != 200 {
--- a/command/forward/want.go
+++ b/command/forward/want.go
@@ -9,22 +9,22 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// want asks for the unit to be loaded. An empty server means: ask again then. expected is
-// a server on which it should have been loaded by now, if there is one: while nobody can
-// be asked it is taken at that.
-func (t *trip) want(ctx context.Context, expected serving.Server) (serving.Server, time.Time, *verdict.Failure) {
+// requestPlace requests that the unit be loaded. If the returned server is empty, it has to be
+// called again at the returned time. expected is the server on which the unit should be loaded by
+// now, if there is one; it is used if the holder cannot be asked.
+func (t *transaction) requestPlace(ctx context.Context, expected serving.Server) (serving.Server, time.Time, *verdict.Failure) {
 	place, err := t.f.placer.Want(ctx, Wanted{
 		Service: t.service.Name, Unit: t.request.Unit, Missing: t.missing, Unreachable: t.unreachable,
 	})
 	t.missing, t.unreachable = "", ""
-	t.waits.next(place.For)
+	t.waits.setCause(place.For)
 	switch {
 	case ctx.Err() != nil:
 		return serving.Server{}, time.Time{}, verdict.Refuse(verdict.ReasonDeadline, "the time was over before a place for %s was known", t.request.Unit)
 	case err != nil && expected.ID != "":
 		return expected, clock.Now(), nil
 	case err != nil:
-		return serving.Server{}, time.Time{}, t.wantFailed(ctx, err, clock.Until(place.Ready))
+		return serving.Server{}, time.Time{}, t.handlePlaceFailure(ctx, err, clock.Until(place.Ready))
 	}
 	if place.Engine == "" {
 		return serving.Server{}, place.Ready, nil
@@ -34,60 +34,62 @@
 		return serving.Server{}, time.Time{}, t.pauseFor(ctx, t.f.params.RetryPause)
 	}
 	if at := t.notBefore(server); at.After(place.Ready) && at.After(clock.Now()) {
-		t.unavailableUntil(server, at)
+		t.addUnavailable(server, at)
 		return serving.Server{}, at, nil
 	}
-	if t.excluded[server.ID] { // it has just refused: a load may take a little longer
+	if t.excluded[server.ID] { // it has just refused the request: the load may take slightly longer than estimated
 		delete(t.excluded, server.ID)
-		t.pauses = min(t.pauses+1, maxPauses)
-		return server, place.Ready, t.pauseFor(ctx, time.Duration(t.pauses)*t.f.params.RetryPause)
+		t.retryPauses = min(t.retryPauses+1, maxRetryPauses)
+		return server, place.Ready, t.pauseFor(ctx, time.Duration(t.retryPauses)*t.f.params.RetryPause)
 	}
 	return server, place.Ready, nil
 }
 
-// longestAskPause bounds the pause before a holder is asked again: it may be back
-// sooner than expected.
-const longestAskPause = 250 * time.Millisecond
+// maxHolderRetryPause bounds the pause before a holder is asked again: it may become reachable
+// earlier than estimated.
+const maxHolderRetryPause = 250 * time.Millisecond
 
-// wantFailed waits before the next question for a place, or refuses. back is when
-// there is hope again.
-func (t *trip) wantFailed(ctx context.Context, err error, back time.Duration) *verdict.Failure {
-	if !t.intake.closed.IsZero() {
-		t.waits.next(serving.WaitTurn)
+// handlePlaceFailure waits before the place is requested again, or refuses the request. wait is the
+// estimated time until the place can be requested successfully.
+func (t *transaction) handlePlaceFailure(ctx context.Context, err error, wait time.Duration) *verdict.Failure {
+	if !t.serverLimits.nextAvailable.IsZero() {
+		t.waits.setCause(serving.WaitTurn)
 		return t.awaitTurn(ctx)
 	}
-	back = max(back, t.f.params.RetryPause)
-	if failure := t.refuseWait(back); failure != nil {
+	wait = max(wait, t.f.params.RetryPause)
+	if failure := t.lateLoadFailure(wait); failure != nil {
 		failure.Detail += ": " + err.Error()
 		return failure
 	}
 	started := clock.Now()
 	defer func() { t.waits.add(clock.Since(started)) }()
-	return t.pauseFor(ctx, min(back, longestAskPause))
+	return t.pauseFor(ctx, min(wait, maxHolderRetryPause))
 }
 
-// refuseWait refuses a request that cannot be served before its client leaves, at
-// once and with the time at which its model will be ready. Any other one is worth
-// waiting for: what its client gains by an answer counts from its first try.
-func (t *trip) refuseWait(wait time.Duration) *verdict.Failure {
-	left := clock.Until(t.due())
-	if wait+t.f.params.FirstEvent < left {
+// lateLoadFailure returns a refusal if the request cannot be served before its client gives up,
+// with the time until its model is ready as the Retry-After. Otherwise it returns nil, since
+// waiting is better than refusing: the value of an answer to the client is measured from its first
+// attempt.
+func (t *transaction) lateLoadFailure(wait time.Duration) *verdict.Failure {
+	remaining := clock.Until(t.nextOutputDeadline())
+	if wait+t.f.params.FirstEvent < remaining {
 		return nil
 	}
-	if !t.intake.closed.IsZero() {
-		return t.heldBack(wait)
+	if !t.serverLimits.nextAvailable.IsZero() {
+		return t.heldBackFailure(wait)
 	}
-	return verdict.Refuse(verdict.ReasonDeadline, "%s takes %s to load, longer than the %s left", t.request.Unit, round(wait), round(left)).After(wait)
+	return verdict.Refuse(verdict.ReasonDeadline, "%s takes %s to load, longer than the %s left", t.request.Unit, round(wait), round(remaining)).After(wait)
 }
 
-// Further pauses before a server that has just refused is asked again.
-const maxPauses = 4
+// maxRetryPauses bounds the growth of the pause before a server that has just refused the request
+// is asked again.
+const maxRetryPauses = 4
 
 func round(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// leftMeanwhile reports whether a server that was chosen is known to leave, or to be gone, since: the
-// questions before a send may take hundreds of milliseconds.
-func (t *trip) leftMeanwhile(server serving.Server) bool {
+// isLeaving reports whether a chosen server has left or started to drain since it was chosen: the
+// checks before a send may take hundreds of milliseconds.
+func (t *transaction) isLeaving(server serving.Server) bool {
 	known, live := t.f.dir.Server(server.ID)
 	return !live || known.Draining
 }
