--- a/command/balance/balance.go
+++ b/command/balance/balance.go
@@ -1,6 +1,6 @@
-// Package balance chooses among the replicas that can serve a request. Its
-// choices are pure but for the account that it keeps of what this instance
-// has sent where and how that ended.
+// Package balance chooses among the replicas that can serve a request. Its choices depend only on
+// their arguments, a random number and the statistics that it keeps of the requests this instance
+// has sent to each server and of their outcomes.
 package balance
 
 import (
@@ -11,99 +11,105 @@
 	"github.com/martenport/martenport/internal/clock"
 )
 
-// Params set how replicas are compared.
+// Params are the weights by which replicas are compared and the rules for ejecting them.
 type Params struct {
-	// FarPenalty is what another failure domain adds, in requests.
-	FarPenalty float64
-	// AffinityBonus is what the replica that has the prompt's shared parts is
-	// ahead, in requests.
+	// RemotePenalty is added to the score of a replica in another failure domain, in requests.
+	RemotePenalty float64
+	// AffinityBonus is subtracted from the score of the replica that has the shared parts of the
+	// prompt cached, in requests.
 	AffinityBonus float64
-	// FailurePenalty is what a replica that fails all its requests adds, in
-	// requests; one that fails a part of them adds that part.
+	// FailurePenalty is added to the score of a replica that fails all its requests, in requests. A
+	// replica that fails a fraction of its requests adds that fraction of it.
 	FailurePenalty float64
-	// EjectAfter failures in a row pass a replica over for EjectFor, which
-	// doubles up to MaxEject.
-	EjectAfter         int
-	EjectFor, MaxEject time.Duration
+	// EjectAfter is the number of consecutive failures after which a replica is ejected, for
+	// BaseEjectionTime at first. Each further failure doubles the time, up to MaxEjectionTime.
+	EjectAfter                        int
+	BaseEjectionTime, MaxEjectionTime time.Duration
 }
 
-// DefaultParams returns the comparison used unless set otherwise.
+// DefaultParams returns the default parameters.
 func DefaultParams() Params {
 	return Params{
-		FarPenalty: 0.5, AffinityBonus: 2, FailurePenalty: 40,
-		EjectAfter: 2, EjectFor: 400 * time.Millisecond, MaxEject: 5 * time.Second,
+		RemotePenalty: 0.5, AffinityBonus: 2, FailurePenalty: 40,
+		EjectAfter: 2, BaseEjectionTime: 400 * time.Millisecond, MaxEjectionTime: 5 * time.Second,
 	}
 }
 
 // Candidate is a replica that can serve a request.
 type Candidate struct {
 	ID string
-	// Domain is its failure domain, empty if that is not known.
+	// Domain is its failure domain, empty if unknown.
 	Domain string
-	Near   bool
-	// Others is how many requests of other instances it runs, as of Age ago.
-	Others int
-	Age    time.Duration
-	// Slots is how many requests it runs at once.
+	// SameDomain is set if it is in the failure domain of this instance.
+	SameDomain bool
+	// OthersInFlight is the number of requests of other instances that it runs, as reported
+	// ReportAge ago.
+	OthersInFlight int
+	ReportAge      time.Duration
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Affine: it is the one to which such requests should go.
+	// Affine is set if requests with this prompt prefix should go to this replica.
 	Affine bool
-	// Wait is how long it takes until it serves.
+	// Wait is the time until it can serve.
 	Wait time.Duration
 }
 
-// Outcome is how a request ended on a server.
+// Outcome is the result of a request as far as it concerns the server.
 type Outcome int
 
-// The outcomes.
+// Outcomes.
 const (
-	// Succeeded: the server answered as it should.
+	// Succeeded means that the server answered correctly.
 	Succeeded Outcome = iota + 1
-	// Failed: it refused, answered wrongly, broke off or stayed silent.
+	// Failed means that the server refused the request, answered with an error, broke off the
+	// answer or stopped responding.
 	Failed
-	// Neutral says nothing of the server, such as a client that left.
+	// Neutral means that the result does not concern the server, for example because the client
+	// disconnected.
 	Neutral
-	// Unreachable: it could not be connected to, or the connection fell silent.
+	// Unreachable means that no connection could be made, or that the connection timed out.
 	Unreachable
-	// Silent: nothing came until the client left. The server may be full, or out of reach.
+	// Silent means that nothing was received until the client disconnected. The server may be at
+	// capacity or unreachable.
 	Silent
 )
 
-// failureMemory is the weight of the newest outcome in the share of failures.
-const failureMemory = 0.15
+// failureSmoothing is the weight of the latest outcome in the smoothed failure rate.
+const failureSmoothing = 0.15
 
-// waitWeight is how many requests ahead count like a second of waiting: about
-// what requests on an engine slow each other by.
-const waitWeight = 60
+// requestsPerWaitSecond is the number of requests ahead that weigh as much as one second of
+// waiting: about the extent to which requests on an engine slow each other down.
+const requestsPerWaitSecond = 60
 
-type server struct {
+// serverStats are the statistics of one server, from the requests of this instance.
+type serverStats struct {
 	inFlight int
-	// took is how long requests that it answered have taken, smoothed; zero before the
-	// first one.
-	took time.Duration
-	// failing is the smoothed share of failures.
-	failing float64
-	row     int
-	until   time.Time
+	// latency is the smoothed duration of successful requests; zero before the first one.
+	latency time.Duration
+	// failureRate is the smoothed fraction of failed requests.
+	failureRate         float64
+	consecutiveFailures int
+	// ejectedUntil is when the current or last ejection ends.
+	ejectedUntil time.Time
 }
 
-// Balancer is one instance's account of the servers.
+// Balancer chooses servers for one instance and keeps its statistics of them.
 type Balancer struct {
 	params Params
 
 	mu      sync.Mutex
-	servers map[string]*server // by id; guarded by mu
-	domains map[string]*domain // failure domains by name; guarded by mu
+	servers map[string]*serverStats // by ID; guarded by mu
+	domains map[string]*domainStats // failure domains by name; guarded by mu
 }
 
-// New returns a Balancer that has sent nothing yet.
+// New returns a Balancer without statistics.
 func New(p Params) *Balancer {
-	return &Balancer{params: p, servers: map[string]*server{}, domains: map[string]*domain{}}
+	return &Balancer{params: p, servers: map[string]*serverStats{}, domains: map[string]*domainStats{}}
 }
 
-// Pick returns the index of the candidate to send to, -1 if there is none. Servers of a
-// domain that seems to be out of reach are taken only if there is no other, and ejected ones
-// only if all are. The choice is drawn: see draw.
+// Pick returns the index of the candidate to send to, or -1 if there are none. Servers in a domain
+// that is suspected to be unreachable are chosen only if there are no others, and ejected servers
+// only if all candidates are ejected. The choice is random, see draw.
 func (b *Balancer) Pick(candidates []Candidate, now time.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,19 +121,19 @@
 	for i, index := range usable {
 		scores[i] = b.score(candidates[index])
 	}
-	return usable[draw(scores, b.unseen(candidates, usable), rand.Float64())]
+	return usable[draw(scores, b.unseenRequests(candidates, usable), rand.Float64())]
 }
 
-// usable needs mu. It returns the indices of the candidates that are neither ejected nor in
-// a domain that seems to be out of reach, of those that are not ejected if there is none,
-// and of all if all are.
+// usable returns the indices of the candidates that are neither ejected nor in a suspect domain. If
+// there are none, it returns those in suspect domains, and if all are ejected, all of them. b.mu
+// must be held.
 func (b *Balancer) usable(candidates []Candidate, now time.Time) []int {
 	var usable, suspect, ejected []int
 	for i, c := range candidates {
 		switch s := b.servers[c.ID]; {
-		case s != nil && now.Before(s.until):
+		case s != nil && now.Before(s.ejectedUntil):
 			ejected = append(ejected, i)
-		case b.suspects(c.Domain, now):
+		case b.isSuspect(c.Domain, now):
 			suspect = append(suspect, i)
 		default:
 			usable = append(usable, i)
@@ -143,26 +149,27 @@
 	}
 }
 
-// score needs mu; lower is better.
+// score returns the score of a candidate, in requests; lower is better. b.mu must be held.
 func (b *Balancer) score(c Candidate) float64 {
-	load := float64(c.Others)
+	load := float64(c.OthersInFlight)
 	if s := b.servers[c.ID]; s != nil {
-		load += float64(s.inFlight) + s.failing*b.params.FailurePenalty
+		load += float64(s.inFlight) + s.failureRate*b.params.FailurePenalty
 	}
 	load *= c.scale()
-	if !c.Near {
-		load += b.params.FarPenalty
+	if !c.SameDomain {
+		load += b.params.RemotePenalty
 	}
 	if c.Affine {
 		load -= b.params.AffinityBonus
 	}
-	return load + c.Wait.Seconds()*waitWeight
+	return load + c.Wait.Seconds()*requestsPerWaitSecond
 }
 
-// referenceSlots is the size of a server in which the other weights are given.
+// referenceSlots is the server size to which scores in requests refer.
 const referenceSlots = 16
 
-// scale converts requests on the candidate to those on a server of referenceSlots.
+// scale returns the factor that converts a number of requests on the candidate to the equivalent
+// number on a server with referenceSlots.
 func (c Candidate) scale() float64 {
 	if c.Slots <= 0 {
 		return 1
@@ -170,59 +177,59 @@
 	return referenceSlots / float64(c.Slots)
 }
 
-// Start notes that a request is sent to a server in a failure domain. The returned
-// function must be called once, with how it ended.
-func (b *Balancer) Start(id, inDomain string) func(o Outcome, now time.Time) {
+// Start records that a request is sent to a server in a failure domain. The returned function must
+// be called exactly once, with the outcome.
+func (b *Balancer) Start(id, domain string) func(o Outcome, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.servers[id]
 	if s == nil {
-		s = &server{}
+		s = &serverStats{}
 		b.servers[id] = s
 	}
 	s.inFlight++
-	began := clock.Now()
+	start := clock.Now()
 	return func(o Outcome, now time.Time) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		s.inFlight--
 		if o == Succeeded {
-			s.noteTook(now.Sub(began))
+			s.recordLatency(now.Sub(start))
 		}
-		b.note(s, o, now)
-		b.noteDomain(inDomain, o, now)
+		b.recordOutcome(s, o, now)
+		b.recordDomainOutcome(domain, o, now)
 	}
 }
 
-// note needs mu.
-func (b *Balancer) note(s *server, o Outcome, now time.Time) {
+// recordOutcome updates the statistics of a server. b.mu must be held.
+func (b *Balancer) recordOutcome(s *serverStats, o Outcome, now time.Time) {
 	switch o {
 	case Succeeded:
-		s.failing *= 1 - failureMemory
-		s.row = 0
+		s.failureRate *= 1 - failureSmoothing
+		s.consecutiveFailures = 0
 	case Failed, Unreachable:
-		s.failing += (1 - s.failing) * failureMemory
-		s.row++
-		if s.row >= b.params.EjectAfter {
-			s.until = now.Add(min(b.params.MaxEject, b.params.EjectFor<<min(s.row-b.params.EjectAfter, 8)))
+		s.failureRate += (1 - s.failureRate) * failureSmoothing
+		s.consecutiveFailures++
+		if s.consecutiveFailures >= b.params.EjectAfter {
+			s.ejectedUntil = now.Add(min(b.params.MaxEjectionTime, b.params.BaseEjectionTime<<min(s.consecutiveFailures-b.params.EjectAfter, 8)))
 		}
 	case Neutral, Silent:
 	}
 }
 
-// Forget drops the account of a server that is gone.
+// Forget deletes the statistics of a server that no longer exists.
 func (b *Balancer) Forget(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.servers, id)
 }
 
-// Failing returns the smoothed share of a server's failures.
-func (b *Balancer) Failing(id string) float64 {
+// FailureRate returns the smoothed fraction of failed requests of a server.
+func (b *Balancer) FailureRate(id string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.servers[id]; s != nil {
-		return s.failing
+		return s.failureRate
 	}
 	return 0
 }
--- a/command/balance/balance_test.go
+++ b/command/balance/balance_test.go
@@ -7,7 +7,8 @@
 
 var now = time.Unix(1000, 0)
 
-func picks(b *Balancer, candidates []Candidate, n int) map[string]int {
+// countPicks returns how often each candidate is chosen in n picks.
+func countPicks(b *Balancer, candidates []Candidate, n int) map[string]int {
 	counts := map[string]int{}
 	for range n {
 		counts[candidates[b.Pick(candidates, now)].ID]++
@@ -15,63 +16,64 @@
 	return counts
 }
 
-// TestLeastLoaded: own sends and those of others count alike.
+// TestLeastLoaded: the requests of this instance and those of others have the same weight.
 func TestLeastLoaded(t *testing.T) {
 	b := New(DefaultParams())
 	for range 3 {
 		b.Start("a", "")
 	}
-	candidates := []Candidate{{ID: "a", Near: true, Slots: 16}, {ID: "b", Near: true, Slots: 16, Others: 5}, {ID: "c", Near: true, Slots: 16, Others: 1}}
-	if got := picks(b, candidates, 50); got["c"] != 50 {
+	candidates := []Candidate{{ID: "a", SameDomain: true, Slots: 16}, {ID: "b", SameDomain: true, Slots: 16, OthersInFlight: 5}, {ID: "c", SameDomain: true, Slots: 16, OthersInFlight: 1}}
+	if got := countPicks(b, candidates, 50); got["c"] != 50 {
 		t.Errorf("picked %v, want c", got)
 	}
 	if b.Pick(nil, now) != -1 {
-		t.Error("picked one of none")
+		t.Error("picked a candidate from an empty list")
 	}
 }
 
-// TestFailing: a server that fails in a row is passed over for a while, and taken
-// if there is no other; one that fails in part is taken less.
-func TestFailing(t *testing.T) {
+// TestEjection: a server with consecutive failures is ejected for a while, and chosen only if there
+// is no other server. After it has recovered its failure rate falls again.
+func TestEjection(t *testing.T) {
 	b := New(DefaultParams())
-	candidates := []Candidate{{ID: "a", Near: true, Slots: 16}, {ID: "b", Near: true, Slots: 16, Others: 30}}
+	candidates := []Candidate{{ID: "a", SameDomain: true, Slots: 16}, {ID: "b", SameDomain: true, Slots: 16, OthersInFlight: 30}}
 	for range 3 {
 		b.Start("a", "")(Failed, now)
 	}
-	if got := picks(b, candidates, 50); got["a"] != 0 {
+	if got := countPicks(b, candidates, 50); got["a"] != 0 {
 		t.Errorf("picked %v, want b alone", got)
 	}
 	if b.Pick(candidates[:1], now) != 0 {
-		t.Error("a server that fails is not taken though there is no other")
+		t.Error("an ejected server is not chosen although there is no other")
 	}
 	now := now.Add(time.Minute)
 	for range 60 {
 		b.Start("a", "")(Succeeded, now)
 	}
-	if b.Failing("a") > 0.01 {
-		t.Errorf("failing %.2f after it has recovered", b.Failing("a"))
+	if b.FailureRate("a") > 0.01 {
+		t.Errorf("failure rate %.2f after recovery", b.FailureRate("a"))
 	}
 }
 
-// TestAffinity: requests with one start of the prompt go to one replica, but not
-// when it is much busier.
+// TestAffinity: requests with the same prompt prefix go to the same replica unless it has a much
+// higher load.
 func TestAffinity(t *testing.T) {
 	b := New(DefaultParams())
-	candidates := []Candidate{{ID: "a", Near: true, Slots: 16}, {ID: "b", Near: true, Slots: 16, Affine: true}}
-	if got := picks(b, candidates, 50); got["b"] != 50 {
+	candidates := []Candidate{{ID: "a", SameDomain: true, Slots: 16}, {ID: "b", SameDomain: true, Slots: 16, Affine: true}}
+	if got := countPicks(b, candidates, 50); got["b"] != 50 {
 		t.Errorf("picked %v, want b", got)
 	}
-	candidates[1].Others = 10
-	if got := picks(b, candidates, 50); got["a"] != 50 {
+	candidates[1].OthersInFlight = 10
+	if got := countPicks(b, candidates, 50); got["a"] != 50 {
 		t.Errorf("picked %v, want a", got)
 	}
 }
 
-// TestWaiting: a replica that serves now goes before one that is being loaded.
-func TestWaiting(t *testing.T) {
+// TestReadyReplicaPreferred: a replica that can serve now is preferred to one that is still
+// loading.
+func TestReadyReplicaPreferred(t *testing.T) {
 	b := New(DefaultParams())
-	candidates := []Candidate{{ID: "a", Near: true, Slots: 16, Wait: time.Second}, {ID: "b", Slots: 16, Others: 20}}
-	if got := picks(b, candidates, 50); got["b"] != 50 {
+	candidates := []Candidate{{ID: "a", SameDomain: true, Slots: 16, Wait: time.Second}, {ID: "b", Slots: 16, OthersInFlight: 20}}
+	if got := countPicks(b, candidates, 50); got["b"] != 50 {
 		t.Errorf("picked %v, want b", got)
 	}
 }
--- a/command/balance/domain.go
+++ b/command/balance/domain.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// domain is what the latest requests to the servers of a failure domain tell of it. Where a
-// domain is cut off from the others, every request across the cut is lost, and an instance
-// would have to learn that of each server by itself: within the domain four of five requests
-// went out while its own servers had the models of most of them (99 of 157 lost requests of a
-// domain that was cut off for six seconds).
-type domain struct {
-	// silent counts the requests in a row of which nothing was heard.
-	silent int
-	// until is until when the domain is avoided.
-	until time.Time
+// domainStats is the state of a failure domain, derived from the latest requests to its servers. If
+// a domain is isolated from the others, every request between them is lost, and an instance would
+// have to find that out for each server separately: within an isolated domain, four of five
+// requests were sent to other domains although its own servers had the models of most of them (99
+// of the 157 lost requests of a domain that was isolated for six seconds).
+type domainStats struct {
+	// unanswered is the number of consecutive requests without any answer.
+	unanswered int
+	// suspectUntil is when the domain stops being suspect.
+	suspectUntil time.Time
 }
 
-// How a domain is avoided.
+// Rules for suspecting a domain.
 const (
-	// suspectAfter requests in a row without any answer from its servers a domain seems
-	// to be out of reach: one server that is dark does not get so many while others answer.
+	// suspectAfter is the number of consecutive unanswered requests after which a domain is
+	// suspected to be unreachable. A single unresponsive server does not reach this number while
+	// other servers of the domain answer.
 	suspectAfter = 3
-	// suspectFor is for how long it is avoided then, twice as long with each request more
-	// that is lost, up to maxSuspect: most cuts last for seconds. One answer ends it, and
-	// requests for what no other domain has are sent all the time.
-	suspectFor = 2 * time.Second
-	maxSuspect = 8 * time.Second
+	// baseSuspectTime is how long the domain is avoided at first. Each further lost request doubles
+	// the time, up to maxSuspectTime, since most network partitions last for seconds. A single
+	// answer ends it, and requests that no other domain can serve are still sent.
+	baseSuspectTime = 2 * time.Second
+	maxSuspectTime  = 8 * time.Second
 )
 
-// suspects needs mu. It reports whether a domain seems to be out of reach.
-func (b *Balancer) suspects(name string, now time.Time) bool {
+// isSuspect reports whether a domain is suspected to be unreachable. b.mu must be held.
+func (b *Balancer) isSuspect(name string, now time.Time) bool {
 	d := b.domains[name]
-	return d != nil && now.Before(d.until)
+	return d != nil && now.Before(d.suspectUntil)
 }
 
-// noteDomain needs mu. It takes over what a request's end tells of the server's domain.
-func (b *Balancer) noteDomain(name string, o Outcome, now time.Time) {
+// recordDomainOutcome updates the state of a server's domain from the outcome of a request. b.mu
+// must be held.
+func (b *Balancer) recordDomainOutcome(name string, o Outcome, now time.Time) {
 	if name == "" || o == Neutral {
 		return
 	}
 	d := b.domains[name]
 	if d == nil {
-		d = &domain{}
+		d = &domainStats{}
 		b.domains[name] = d
 	}
 	if o == Succeeded || o == Failed {
-		*d = domain{}
+		*d = domainStats{}
 		return
 	}
-	d.silent++
-	if d.silent >= suspectAfter {
-		d.until = now.Add(min(maxSuspect, suspectFor<<min(d.silent-suspectAfter, 8)))
+	d.unanswered++
+	if d.unanswered >= suspectAfter {
+		d.suspectUntil = now.Add(min(maxSuspectTime, baseSuspectTime<<min(d.unanswered-suspectAfter, 8)))
 	}
 }
--- a/command/balance/spread.go
+++ b/command/balance/spread.go
@@ -5,82 +5,84 @@
 	"time"
 )
 
-// Instances hear of each other's requests with a delay. If each one then took the server
-// with the fewest, all would take the same one until the next word. So the requests that
-// others are expected to have sent since then are counted as well: they even the servers out
-// from the least busy one up, and this request is drawn to be any one of them. With 200
-// instances that hear of each other once a second, before 5 servers with 12 places each of
-// which four fifths are taken, the busiest server runs 1.45 times the mean, and 1.79 times
-// where the one with the fewest is taken (TestStaleWordDoesNotHerd).
+// Instances receive reports of each other's requests with a delay. If each one then chose the
+// server with the fewest requests, all would choose the same one until the next report. Therefore
+// the requests that other instances are expected to have sent since the report are also taken into
+// account: they fill the servers from the least loaded one upwards to a common level, and this
+// request is equally likely to be any of them. With 200 instances that receive reports once per
+// second, in front of 5 servers with 12 slots each at 80% utilization, the busiest server runs 1.45
+// times the mean, compared to 1.79 times if the server with the fewest requests is chosen
+// (TestStaleReportsDoNotHerd).
 
-// minUnseen is how many requests are expected to be unseen at least, so that equal
-// candidates are drawn alike.
+// minUnseen is the lower bound of the number of unseen requests, so that candidates with equal
+// scores are equally likely to be drawn.
 const minUnseen = 0.4
 
-// unseen needs mu. It returns how many requests others are expected to have sent to the
-// candidates since what is known of them, in requests of a server of referenceSlots: as
-// many as run on them are sent in the time that one takes.
-func (b *Balancer) unseen(candidates []Candidate, indices []int) float64 {
+// unseenRequests returns the number of requests that other instances are expected to have sent to
+// the candidates since the last reports, in requests on a server with referenceSlots. It assumes
+// that within the latency of one request as many requests are sent as are running. b.mu must be
+// held.
+func (b *Balancer) unseenRequests(candidates []Candidate, indices []int) float64 {
 	total := 0.0
 	for _, i := range indices {
 		c := candidates[i]
-		if c.Others > 0 {
-			total += float64(c.Others) * c.scale() * c.Age.Seconds() / b.requestTime(c.ID).Seconds()
+		if c.OthersInFlight > 0 {
+			total += float64(c.OthersInFlight) * c.scale() * c.ReportAge.Seconds() / b.requestLatency(c.ID).Seconds()
 		}
 	}
 	return max(minUnseen, total)
 }
 
-// typicalRequest is how long a request takes on a server that has answered none yet: a
-// short generation.
-const typicalRequest = 1500 * time.Millisecond
+// defaultLatency is the latency assumed for a server that has not answered any request yet: that of
+// a short generation.
+const defaultLatency = 1500 * time.Millisecond
 
-// leastRequest bounds how short requests are taken to be, in a division.
-const leastRequest = time.Millisecond
+// minLatency is a lower bound for the latency that unseenRequests divides by.
+const minLatency = time.Millisecond
 
-// requestTime needs mu.
-func (b *Balancer) requestTime(id string) time.Duration {
+// requestLatency returns the smoothed latency of requests on a server. b.mu must be held.
+func (b *Balancer) requestLatency(id string) time.Duration {
 	s := b.servers[id]
-	if s == nil || s.took == 0 {
-		return typicalRequest
+	if s == nil || s.latency == 0 {
+		return defaultLatency
 	}
-	return max(leastRequest, s.took)
+	return max(minLatency, s.latency)
 }
 
-// tookMemory is the weight of the newest request in how long they take.
-const tookMemory = 0.1
+// latencySmoothing is the weight of the latest request in the smoothed latency.
+const latencySmoothing = 0.1
 
-// noteTook needs the balancer's mu.
-func (s *server) noteTook(took time.Duration) {
-	if s.took == 0 {
-		s.took = took
+// recordLatency updates the smoothed latency. The balancer's mu must be held.
+func (s *serverStats) recordLatency(latency time.Duration) {
+	if s.latency == 0 {
+		s.latency = latency
 		return
 	}
-	s.took += time.Duration(tookMemory * float64(took-s.took))
+	s.latency += time.Duration(latencySmoothing * float64(latency-s.latency))
 }
 
-// draw returns the index of one of the scores, where share in [0, 1) says which. The
-// lowest scores are raised to one level by unseen requests; each is drawn by its part of
-// them.
+// draw returns the index of one of the scores. unseen requests raise the lowest scores to a common
+// level; each score is drawn with a probability proportional to the amount by which it is raised.
+// share in [0, 1) is the random number that selects it.
 func draw(scores []float64, unseen, share float64) int {
-	level := levelOf(scores, unseen)
-	left := share * unseen
+	level := fillLevel(scores, unseen)
+	remaining := share * unseen
 	last := 0
 	for i, score := range scores {
 		if score >= level {
 			continue
 		}
 		last = i
-		left -= level - score
-		if left < 0 {
+		remaining -= level - score
+		if remaining < 0 {
 			return i
 		}
 	}
 	return last
 }
 
-// levelOf returns the level up to which the lowest scores are raised by so many requests.
-func levelOf(scores []float64, requests float64) float64 {
+// fillLevel returns the level to which the given number of requests raises the lowest scores.
+func fillLevel(scores []float64, requests float64) float64 {
 	sorted := slices.Sorted(slices.Values(scores))
 	below := 0.0
 	for i, score := range sorted {
--- a/command/balance/spread_test.go
+++ b/command/balance/spread_test.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// staleFleet is 200 instances that send requests of 1.5 s to five servers, and hear once
-// a second, each at another moment, what the others run.
-type staleFleet struct {
-	balancers []*Balancer
-	heard     []map[string]int // by instance
-	heardAt   []time.Time
-	own       []map[string]int // requests by instance and server
-	total     map[string]int
-	ends      []requestEnd
+// staleCluster simulates 200 instances that send requests of 1.5 s to five servers. Each instance
+// receives a report of the requests of the others once per second, each at a different time.
+type staleCluster struct {
+	balancers  []*Balancer
+	reported   []map[string]int // requests of the others by instance and server
+	reportedAt []time.Time
+	own        []map[string]int // requests by instance and server
+	total      map[string]int
+	pending    []requestEnd
 }
 
+// requestEnd is a request in flight and the time at which it ends.
 type requestEnd struct {
 	at       time.Time
 	instance int
@@ -34,41 +35,44 @@
 	staleStep      = 5 * time.Millisecond
 )
 
-func newStaleFleet() *staleFleet {
-	f := &staleFleet{total: map[string]int{}}
+// newStaleCluster returns a cluster without requests.
+func newStaleCluster() *staleCluster {
+	f := &staleCluster{total: map[string]int{}}
 	for range staleInstances {
 		f.balancers = append(f.balancers, New(DefaultParams()))
-		f.heard = append(f.heard, map[string]int{})
-		f.heardAt = append(f.heardAt, now)
+		f.reported = append(f.reported, map[string]int{})
+		f.reportedAt = append(f.reportedAt, now)
 		f.own = append(f.own, map[string]int{})
 	}
 	return f
 }
 
+// staleServer returns the ID of a server.
 func staleServer(i int) string { return fmt.Sprintf("server-%d", i) }
 
-// play sends perSecond requests for so long, and returns by how much the busiest server
-// exceeded the mean, averaged over the steps after the first third.
-func (f *staleFleet) play(perSecond float64, length time.Duration) float64 {
+// run sends perSecond requests for a given time, and returns the ratio of the load of the busiest
+// server to the mean, averaged over the steps after the first third.
+func (f *staleCluster) run(perSecond float64, length time.Duration) float64 {
 	random := rand.New(rand.NewPCG(1, 2))
-	due, excess, steps := 0.0, 0.0, 0
+	backlog, ratioSum, steps := 0.0, 0.0, 0
 	for at := time.Duration(0); at < length; at += staleStep {
 		t := now.Add(at)
-		f.end(t)
-		f.tell(t)
-		for due += perSecond * staleStep.Seconds(); due >= 1; due-- {
+		f.endRequests(t)
+		f.distributeReports(t)
+		for backlog += perSecond * staleStep.Seconds(); backlog >= 1; backlog-- {
 			f.send(random.IntN(staleInstances), t)
 		}
 		if at > length/3 {
 			steps++
-			excess += f.excess()
+			ratioSum += f.loadRatio()
 		}
 	}
-	return excess / float64(steps)
+	return ratioSum / float64(steps)
 }
 
-func (f *staleFleet) end(t time.Time) {
-	f.ends = slices.DeleteFunc(f.ends, func(e requestEnd) bool {
+// endRequests ends the requests that are due at t.
+func (f *staleCluster) endRequests(t time.Time) {
+	f.pending = slices.DeleteFunc(f.pending, func(e requestEnd) bool {
 		if t.Before(e.at) {
 			return false
 		}
@@ -79,32 +83,35 @@
 	})
 }
 
-func (f *staleFleet) tell(t time.Time) {
-	for i := range f.heard {
+// distributeReports updates the instances that receive a report at t.
+func (f *staleCluster) distributeReports(t time.Time) {
+	for i := range f.reported {
 		offset := time.Duration(i) * time.Second / staleInstances
 		if t.Sub(now)%time.Second != offset.Truncate(staleStep) {
 			continue
 		}
-		f.heardAt[i] = t
+		f.reportedAt[i] = t
 		for s := range staleServers {
-			f.heard[i][staleServer(s)] = f.total[staleServer(s)] - f.own[i][staleServer(s)]
+			f.reported[i][staleServer(s)] = f.total[staleServer(s)] - f.own[i][staleServer(s)]
 		}
 	}
 }
 
-func (f *staleFleet) send(instance int, t time.Time) {
+// send sends a request from an instance to the server that its balancer picks.
+func (f *staleCluster) send(instance int, t time.Time) {
 	var candidates []Candidate
 	for s := range staleServers {
 		id := staleServer(s)
-		candidates = append(candidates, Candidate{ID: id, Near: true, Slots: staleSlots, Others: f.heard[instance][id], Age: t.Sub(f.heardAt[instance])})
+		candidates = append(candidates, Candidate{ID: id, SameDomain: true, Slots: staleSlots, OthersInFlight: f.reported[instance][id], ReportAge: t.Sub(f.reportedAt[instance])})
 	}
 	id := candidates[f.balancers[instance].Pick(candidates, t)].ID
 	f.own[instance][id]++
 	f.total[id]++
-	f.ends = append(f.ends, requestEnd{at: t.Add(staleRequest), instance: instance, server: id, done: f.balancers[instance].Start(id, "")})
+	f.pending = append(f.pending, requestEnd{at: t.Add(staleRequest), instance: instance, server: id, done: f.balancers[instance].Start(id, "")})
 }
 
-func (f *staleFleet) excess() float64 {
+// loadRatio returns the ratio of the load of the busiest server to the mean.
+func (f *staleCluster) loadRatio() float64 {
 	most, sum := 0, 0
 	for _, n := range f.total {
 		most, sum = max(most, n), sum+n
@@ -112,17 +119,19 @@
 	return float64(most) * staleServers / float64(max(1, sum))
 }
 
-// TestStaleWordDoesNotHerd: instances that hear of each other once a second do not all
-// choose the same server. Where each takes the least busy server that it knows of, the busiest
-// runs 1.79 times the mean; where they draw, 1.45 times (25 runs each, standard deviation .03).
-func TestStaleWordDoesNotHerd(t *testing.T) {
+// TestStaleReportsDoNotHerd: instances that receive reports of each other once per second do not
+// all choose the same server. If each one chooses the server with the lowest known load, the
+// busiest server runs 1.79 times the mean; if they draw, 1.45 times (25 runs each, standard
+// deviation .03).
+func TestStaleReportsDoNotHerd(t *testing.T) {
 	perSecond := 0.8 * staleServers * staleSlots / staleRequest.Seconds()
-	if excess := newStaleFleet().play(perSecond, 60*time.Second); excess > 1.6 {
-		t.Errorf("the busiest server ran %.2f times the mean", excess)
+	if ratio := newStaleCluster().run(perSecond, 60*time.Second); ratio > 1.6 {
+		t.Errorf("the busiest server ran %.2f times the mean", ratio)
 	}
 }
 
-// TestDraw: the lowest scores are raised to one level, and drawn by what that takes.
+// TestDraw: the lowest scores are raised to a common level, and each one is drawn in proportion to
+// the amount by which it is raised.
 func TestDraw(t *testing.T) {
 	scores := []float64{3, 1, 2}
 	for _, c := range []struct {
--- a/command/forward/choose.go
+++ b/command/forward/choose.go
@@ -35,7 +35,7 @@
 		candidates := make([]balance.Candidate, 0, len(open))
 		for _, i := range open {
 			s := usable[i]
-			candidates = append(candidates, balance.Candidate{ID: s.ID, Domain: s.FailureDomain, Slots: s.Slots, Near: s.FailureDomain == t.f.params.FailureDomain})
+			candidates = append(candidates, balance.Candidate{ID: s.ID, Domain: s.FailureDomain, Slots: s.Slots, SameDomain: s.FailureDomain == t.f.params.FailureDomain})
 		}
 		if i := t.f.balancer.Pick(candidates, clock.Now()); i >= 0 {
 			return usable[open[i]], nil
@@ -169,8 +169,8 @@
 	candidates := make([]balance.Candidate, 0, len(usable))
 	for _, r := range usable {
 		candidates = append(candidates, balance.Candidate{
-			ID: r.Server.ID, Domain: r.Server.FailureDomain, Slots: r.Server.Slots, Others: r.Others, Age: r.Age, Wait: max(0, r.Ready.Sub(now)),
-			Near: r.Server.FailureDomain == t.f.params.FailureDomain,
+			ID: r.Server.ID, Domain: r.Server.FailureDomain, Slots: r.Server.Slots, OthersInFlight: r.Others, ReportAge: r.Age, Wait: max(0, r.Ready.Sub(now)),
+			SameDomain: r.Server.FailureDomain == t.f.params.FailureDomain,
 		})
 	}
 	t.soleReplica = len(candidates) == 1 && usable[0].Ready.IsZero()
