--- a/command/access/access.go
+++ b/command/access/access.go
@@ -1,13 +1,14 @@
-// Package access decides whose a request is, and whether the instance may let it run by what
-// it knows of keys. It is pure: times are passed in.
+// Package access determines the workspace of a request, and decides whether the instance may run
+// the request given what it knows about keys. It does no I/O and reads no clock: times are passed
+// in.
 //
-// Keys come and go with configurations. An instance hears of a configuration after a while,
-// and of none while it is cut off. What it knows is therefore judged by its age: how long ago
-// it was sure that no newer configuration had been accepted. Where revocation fails closed, a
-// request that needs a key is refused once that age is more than the bound, so that no key
-// works for longer after it was taken away, whatever the instance is cut off from and however
-// long its machine stood still. Where it does not, an instance that is cut off goes on with
-// the keys that it knows.
+// Keys are added and removed by configurations. An instance receives a new configuration after some
+// delay, and none while it is isolated. What it knows is therefore judged by its age: the time
+// since it was certain that no newer configuration had been accepted. If revocation fails closed, a
+// request that needs a key is refused once that age exceeds the bound. So no key works for longer
+// than the bound after its removal, whatever the instance is isolated from and however long its
+// machine was suspended. If revocation fails open, an isolated instance continues with the keys
+// that it knows.
 package access
 
 import (
@@ -17,114 +18,120 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// Policy is how long what is known of keys is relied on.
+// Policy sets how long knowledge about keys is relied on.
 type Policy struct {
-	// FailClosed: keys are not relied on after Bound.
+	// FailClosed is set if keys are not relied on after Bound.
 	FailClosed bool
-	// Bound is how long after it was taken away a key may work.
+	// Bound is the longest time for which a key may work after its removal.
 	Bound time.Duration
-	// InForce is how long after it was accepted a configuration may be unknown to an instance, 0
-	// if the deployment does not say.
+	// InForce is the longest time for which an accepted configuration may be unknown to an
+	// instance, 0 if the deployment does not specify it.
 	InForce time.Duration
 }
 
-// margin is the part of the bound that is left unused: the store may tell of a change a while
-// after it has acknowledged it, and a watch that hears nothing may have been deaf for a part
-// of its second.
-const margin = 0.14
+// safetyMargin is the fraction of the bound that is left unused: the store may report a change some
+// time after it has acknowledged the change, and a watch without updates may have been disconnected
+// for a part of its one-second interval.
+const safetyMargin = 0.14
 
-// Trusted is the age up to which keys are relied on; 0 without bound.
+// Trusted returns the age up to which keys are relied on; 0 means that there is no limit.
 func (p Policy) Trusted() time.Duration {
 	if !p.FailClosed {
 		return 0
 	}
-	return time.Duration((1 - margin) * float64(p.Bound))
+	return time.Duration((1 - safetyMargin) * float64(p.Bound))
 }
 
-// Trusts reports whether keys are relied on by what is known since an age.
+// Trusts reports whether keys are relied on if the last confirmation of the configuration has the
+// given age.
 func (p Policy) Trusts(age time.Duration) bool {
 	return !p.FailClosed || age <= p.Trusted()
 }
 
-// Word is what one instance tells another of how current its configuration is.
+// Word is a message from one instance to another that states how current its configuration is.
 type Word struct {
-	// Version of the configuration in force there, 0 if there is none.
+	// Version is that of the configuration in force there, 0 if there is none.
 	Version int64
-	// Age is how long before the word was made there was no newer one for certain.
+	// Age is how long before the creation of the message it was last certain that there was no newer
+	// configuration.
 	Age time.Duration
 }
 
-// AsOf returns when there was no newer configuration for certain, by the clock of the instance
-// that got the word in answer to a question that it had sent at a time: the word was made
-// after that.
-func (w Word) AsOf(asked time.Time) time.Time { return asked.Add(-w.Age) }
+// AsOf returns the time at which it was last certain that there was no newer configuration, by the
+// clock of the receiver. sentAt is when the receiver sent the request that was answered with the
+// message; since the message was created later, the result is a safe lower bound.
+func (w Word) AsOf(sentAt time.Time) time.Time { return sentAt.Add(-w.Age) }
 
-// Knowledge is how current the configuration is known to be when a request is judged.
+// Knowledge states how current the configuration is known to be when a request is judged.
 type Knowledge struct {
-	// Age is how long ago it was sure that there was no newer configuration.
+	// Age is the time since it was last certain that there was no newer configuration.
 	Age time.Duration
-	// Newer: there is a newer one, which is not known yet.
+	// Newer is set if a newer configuration is known to exist but has not been received yet.
 	Newer bool
-	// Reached: another instance that answers for the store's news is in reach, so that this
-	// one is not cut off by itself.
+	// Reached is set if another instance that relays updates from the store can be reached, so that
+	// this instance is not isolated on its own.
 	Reached bool
 }
 
-// Times that clients are told.
+// Retry-After times.
 const (
-	// newcomerRetry is when a key or a route that is not known yet should be: the word of a
-	// configuration goes round within a second or two.
-	newcomerRetry = 500 * time.Millisecond
-	// elsewhereRetry: the instance is cut off, and others are not.
-	elsewhereRetry = 50 * time.Millisecond
-	// outageRetry: the store answers nobody.
-	outageRetry = time.Second
+	// outdatedRetryAfter applies to a key or route that may be in a configuration that has not been
+	// received yet: a new configuration is distributed within one or two seconds.
+	outdatedRetryAfter = 500 * time.Millisecond
+	// isolatedRetryAfter applies while this instance is isolated and others are not.
+	isolatedRetryAfter = 50 * time.Millisecond
+	// outageRetryAfter applies while the store does not answer any instance.
+	outageRetryAfter = time.Second
 )
 
-// unknownTrusted is the age up to which what is not in the configuration does not exist, at the
-// most. An instance that hears of the store regularly hears within a second of the watch, one of
-// the report and some for the way. With an older word it may be new.
-const unknownTrusted = 2500 * time.Millisecond
-
-// Complete reports whether a route or a key that is not in the configuration does not exist. Where
-// it may, its request is not refused for good: its client would not come again.
-func (p Policy) Complete(k Knowledge) bool {
-	trusted := unknownTrusted
+// maxAbsenceAge is the age of the knowledge up to which a key or route that is not in the
+// configuration can be regarded as non-existent. An instance with a working connection receives
+// updates within one second for the watch, one second for the report, and the transmission time. If
+// the knowledge is older, the key or route may be new.
+const maxAbsenceAge = 2500 * time.Millisecond
+
+// AbsenceIsCertain reports whether a route or a key that is not in the configuration certainly does
+// not exist. If it may exist, the request must not be refused permanently, since its client would
+// not retry.
+func (p Policy) AbsenceIsCertain(k Knowledge) bool {
+	maxAge := maxAbsenceAge
 	if p.InForce > 0 {
-		trusted = min(trusted, time.Duration((1-margin)*float64(p.InForce)))
+		maxAge = min(maxAge, time.Duration((1-safetyMargin)*float64(p.InForce)))
 	}
-	return !k.Newer && k.Age <= trusted
+	return !k.Newer && k.Age <= maxAge
 }
 
-// NoRoute returns how a request is refused for which the configuration has no route.
+// NoRoute returns the refusal of a request for which the configuration has no route.
 func NoRoute(c *serving.Config, r *serving.Request, k Knowledge, p Policy) *verdict.Failure {
-	if !p.Complete(k) {
+	if !p.AbsenceIsCertain(k) {
 		return verdict.Refuse(verdict.ReasonPlatform, "no route of configuration %d for %s%s, and that may be out of date: the last word is %s old",
-			c.Version, r.Host, r.Path(), k.Age.Round(time.Millisecond)).After(newcomerRetry)
+			c.Version, r.Host, r.Path(), k.Age.Round(time.Millisecond)).After(outdatedRetryAfter)
 	}
 	return verdict.Refuse(verdict.ReasonNoRoute, "no route of configuration %d for %s%s", c.Version, r.Host, r.Path())
 }
 
-// Decide returns whose a request for a route is, nil if it needs no key, or why it may not run.
-func Decide(c *serving.Config, route *serving.Route, credential serving.Credential, k Knowledge, p Policy) (*serving.Workspace, *verdict.Failure) {
+// Authorize returns the workspace of a request for a route, nil if the request needs no key, or the
+// reason why it may not run.
+func Authorize(c *serving.Config, route *serving.Route, credential serving.Credential, k Knowledge, p Policy) (*serving.Workspace, *verdict.Failure) {
 	if !c.Guarded() || route.Public {
 		return nil, nil
 	}
 	if !p.Trusts(k.Age) {
-		return nil, verdict.Refuse(verdict.ReasonPlatform, "it is not known whether keys were taken away, the last word is %s old", k.Age.Round(time.Millisecond)).After(k.retry())
+		return nil, verdict.Refuse(verdict.ReasonPlatform, "it is not known whether keys were taken away, the last word is %s old", k.Age.Round(time.Millisecond)).After(k.retryAfter())
 	}
-	workspace, detail := find(c, credential)
+	workspace, detail := findWorkspace(c, credential)
 	switch {
 	case workspace != nil:
 		return workspace, nil
-	case !p.Complete(k):
-		return nil, verdict.Refuse(verdict.ReasonPlatform, "%s as far as is known, and that may be out of date", detail).After(newcomerRetry)
+	case !p.AbsenceIsCertain(k):
+		return nil, verdict.Refuse(verdict.ReasonPlatform, "%s as far as is known, and that may be out of date", detail).After(outdatedRetryAfter)
 	}
 	return nil, verdict.Refuse(verdict.ReasonUnauthorized, "%s", detail)
 }
 
-// find returns the workspace that has a key, or what is wrong with the key.
-func find(c *serving.Config, credential serving.Credential) (*serving.Workspace, string) {
+// findWorkspace returns the workspace that has a key, or a description of what is wrong with the
+// key.
+func findWorkspace(c *serving.Config, credential serving.Credential) (*serving.Workspace, string) {
 	switch credential.Form {
 	case serving.KeyMissing:
 		return nil, "the request needs a key"
@@ -137,9 +144,10 @@
 	return nil, "no workspace has the key"
 }
 
-func (k Knowledge) retry() time.Duration {
+// retryAfter returns the Retry-After of a request refused because the knowledge is too old.
+func (k Knowledge) retryAfter() time.Duration {
 	if k.Reached {
-		return outageRetry
+		return outageRetryAfter
 	}
-	return elsewhereRetry
+	return isolatedRetryAfter
 }
--- a/command/access/access_test.go
+++ b/command/access/access_test.go
@@ -8,9 +8,9 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// TestDecide: who is served, and what the others are told, by their key and by how old the word
-// of it is.
-func TestDecide(t *testing.T) {
+// TestAuthorize: whether a request is served or how it is refused depends on its key and on the age
+// of the knowledge about keys.
+func TestAuthorize(t *testing.T) {
 	config := &serving.Config{Version: 1, Workspaces: []serving.Workspace{{Name: "w", Keys: []serving.KeyDigest{serving.DigestKey("k")}}}}
 	if err := config.Index(); err != nil {
 		t.Fatal(err)
@@ -18,30 +18,30 @@
 	key := func(k string) serving.Credential {
 		return serving.Credential{Form: serving.KeyGiven, Digest: serving.DigestKey(k)}
 	}
-	closed := Policy{FailClosed: true, Bound: 5 * time.Second}
-	const now, refused = "", string(verdict.ReasonPlatform)
+	failClosed := Policy{FailClosed: true, Bound: 5 * time.Second}
+	const allowed, refused = "", string(verdict.ReasonPlatform)
 	for name, c := range map[string]struct {
 		credential serving.Credential
 		public     bool
-		known      Knowledge
+		knowledge  Knowledge
 		policy     Policy
 		want       string
 	}{
-		"known key":                          {key("k"), false, Knowledge{}, closed, now},
-		"known key, old word":                {key("k"), false, Knowledge{Age: 4 * time.Second}, closed, now},
-		"known key, too old a word":          {key("k"), false, Knowledge{Age: 4500 * time.Millisecond}, closed, refused},
-		"known key, nothing ever heard":      {key("k"), false, Knowledge{Age: 1 << 62}, closed, refused},
-		"known key, cut off, fails open":     {key("k"), false, Knowledge{Age: time.Hour}, Policy{}, now},
-		"unknown key":                        {key("x"), false, Knowledge{Age: 2 * time.Second}, closed, string(verdict.ReasonUnauthorized)},
-		"unknown key, old word":              {key("x"), false, Knowledge{Age: 3 * time.Second}, closed, refused},
+		"known key":                          {key("k"), false, Knowledge{}, failClosed, allowed},
+		"known key, old word":                {key("k"), false, Knowledge{Age: 4 * time.Second}, failClosed, allowed},
+		"known key, too old a word":          {key("k"), false, Knowledge{Age: 4500 * time.Millisecond}, failClosed, refused},
+		"known key, nothing ever heard":      {key("k"), false, Knowledge{Age: 1 << 62}, failClosed, refused},
+		"known key, cut off, fails open":     {key("k"), false, Knowledge{Age: time.Hour}, Policy{}, allowed},
+		"unknown key":                        {key("x"), false, Knowledge{Age: 2 * time.Second}, failClosed, string(verdict.ReasonUnauthorized)},
+		"unknown key, old word":              {key("x"), false, Knowledge{Age: 3 * time.Second}, failClosed, refused},
 		"unknown key, cut off, fails open":   {key("x"), false, Knowledge{Age: time.Hour}, Policy{}, refused},
-		"unknown key, newer word on its way": {key("x"), false, Knowledge{Newer: true}, closed, refused},
-		"empty digest is no key":             {key(""), false, Knowledge{}, closed, string(verdict.ReasonUnauthorized)},
-		"no key":                             {serving.Credential{}, false, Knowledge{}, closed, string(verdict.ReasonUnauthorized)},
-		"two keys":                           {serving.Credential{Form: serving.KeyRepeated}, false, Knowledge{}, closed, string(verdict.ReasonUnauthorized)},
-		"public":                             {serving.Credential{}, true, Knowledge{Age: time.Hour}, closed, now},
+		"unknown key, newer word on its way": {key("x"), false, Knowledge{Newer: true}, failClosed, refused},
+		"empty digest is no key":             {key(""), false, Knowledge{}, failClosed, string(verdict.ReasonUnauthorized)},
+		"no key":                             {serving.Credential{}, false, Knowledge{}, failClosed, string(verdict.ReasonUnauthorized)},
+		"two keys":                           {serving.Credential{Form: serving.KeyRepeated}, false, Knowledge{}, failClosed, string(verdict.ReasonUnauthorized)},
+		"public":                             {serving.Credential{}, true, Knowledge{Age: time.Hour}, failClosed, allowed},
 	} {
-		workspace, failure := Decide(config, &serving.Route{Public: c.public}, c.credential, c.known, c.policy)
+		workspace, failure := Authorize(config, &serving.Route{Public: c.public}, c.credential, c.knowledge, c.policy)
 		got := ""
 		if failure != nil {
 			got = string(failure.Reason)
@@ -49,7 +49,7 @@
 				t.Errorf("%s: %s", name, failure.Verdict)
 			}
 			if (failure.RetryAfter == 0) != (failure.Reason == verdict.ReasonUnauthorized) {
-				t.Errorf("%s: come back after %s", name, failure.RetryAfter)
+				t.Errorf("%s: retry after %s", name, failure.RetryAfter)
 			}
 		}
 		if got != c.want || failure == nil && !c.public && workspace == nil {
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestNoWorkspaces: without workspaces no request needs a key; with an empty list nobody has one.
+// TestNoWorkspaces: without a list of workspaces no request needs a key; with an empty list no key
+// is valid.
 func TestNoWorkspaces(t *testing.T) {
 	open := &serving.Config{Version: 1}
 	closed := &serving.Config{Version: 1, Workspaces: []serving.Workspace{}}
@@ -68,10 +69,10 @@
 		}
 	}
 	policy := Policy{FailClosed: true, Bound: time.Second}
-	if _, failure := Decide(open, &serving.Route{}, serving.Credential{}, Knowledge{Age: time.Hour}, policy); failure != nil {
+	if _, failure := Authorize(open, &serving.Route{}, serving.Credential{}, Knowledge{Age: time.Hour}, policy); failure != nil {
 		t.Errorf("no workspaces: %v", failure)
 	}
-	if _, failure := Decide(closed, &serving.Route{}, serving.Credential{}, Knowledge{}, policy); failure == nil {
-		t.Error("an empty list of workspaces: a request without a key runs")
+	if _, failure := Authorize(closed, &serving.Route{}, serving.Credential{}, Knowledge{}, policy); failure == nil {
+		t.Error("empty list of workspaces: a request without a key is admitted")
 	}
 }
--- a/command/access/search_test.go
+++ b/command/access/search_test.go
@@ -10,41 +10,45 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// The search goes through every order of a few steps, to a depth, of a holder that watches the
-// store, an instance that hears from the holder, and a key that is taken away: calls to the
-// store and reports to the holder begin, are carried out and are answered at any time, or never;
-// the store tells its watch late or not at all while nothing is known to be wrong with it;
-// time passes between any two. In each state a request with the key arrives at both.
+// The search visits every sequence of a few steps, up to a given depth, of a holder that watches
+// the store, an instance that receives reports from the holder, and a key that is removed. Calls to
+// the store and to the holder are sent, executed and answered at any time, or never; the store
+// notifies its watch late or not at all while no fault is detected; time may pass between any two
+// steps. In each state a request with the key arrives at both the holder and the instance.
 
 var (
 	searchStart  = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	searchPolicy = access.Policy{FailClosed: true, Bound: 2 * time.Second}
 )
 
-// tick is what passes in one step of time: above half of the bound, so that two are too many.
-const tick = 1200 * time.Millisecond
+// timeStep is the duration of one step of time: more than half of the bound, so that two steps
+// exceed it.
+const timeStep = 1200 * time.Millisecond
 
-// call is a question that is under way.
+// call is a call in progress.
 type call struct {
-	asked time.Time
-	// answer is nil until the question has been carried out.
+	sentAt time.Time
+	// answer is nil until the call has been executed.
 	answer *access.Word
 }
 
-// state is that of all, in values that are copied.
+// state is the state of the whole simulation, made of values that are copied.
 type state struct {
 	now time.Time
-	// accepted is the newest configuration's version, and revoked when that without the key
-	// was acknowledged; zero before.
+	// accepted is the version of the newest configuration, and revoked the time at which the
+	// configuration without the key was acknowledged; zero before.
 	accepted int64
 	revoked  time.Time
-	// version and asOf are what the holder (0) and the instance (1) know.
-	version [2]int64
-	asOf    [2]time.Time
-	// call is under way from each: the holder's to the store, the instance's to the holder.
-	call [2]*call
+	// version and confirmedAt are the version known to the holder (0) and the instance (1), and
+	// when it was last certain that there was no newer one.
+	version     [2]int64
+	confirmedAt [2]time.Time
+	// calls are the calls in progress: from the holder to the store and from the instance to the
+	// holder.
+	calls [2]*call
 }
 
+// searchConfig returns a configuration; only version 1 has the key.
 func searchConfig(t *testing.T, version int64) *serving.Config {
 	t.Helper()
 	c := &serving.Config{Version: version, Workspaces: []serving.Workspace{{Name: "w"}}}
@@ -57,23 +61,24 @@
 	return c
 }
 
-// dirOf returns a directory in the state of one of the two.
-func (s *state) dirOf(who int, configs map[int64]*serving.Config) *directory.Directory {
+// directoryOf returns a directory in the state of a node, the holder or the instance.
+func (s *state) directoryOf(node int, configs map[int64]*serving.Config) *directory.Directory {
 	d := directory.New()
-	d.ApplyConfig(configs[s.version[who]])
-	d.Confirm(s.version[who], s.asOf[who])
+	d.ApplyConfig(configs[s.version[node]])
+	d.Confirm(s.version[node], s.confirmedAt[node])
 	return d
 }
 
-// step is one thing that may happen; ok is false if it cannot now.
+// step is one event that may happen; ok is false if it is not possible in the present state.
 type step struct {
 	name string
 	do   func(s *state, configs map[int64]*serving.Config) (ok bool)
 }
 
+// steps are all events of the simulation.
 var steps = []step{
 	{"time passes", func(s *state, _ map[int64]*serving.Config) bool {
-		s.now = s.now.Add(tick)
+		s.now = s.now.Add(timeStep)
 		return true
 	}},
 	{"the key is taken away", func(s *state, _ map[int64]*serving.Config) bool {
@@ -83,91 +88,94 @@
 		s.accepted, s.revoked = 2, s.now
 		return true
 	}},
-	{"the holder asks the store", func(s *state, _ map[int64]*serving.Config) bool { return s.ask(0) }},
+	{"the holder asks the store", func(s *state, _ map[int64]*serving.Config) bool { return s.send(0) }},
 	{"the store answers", func(s *state, _ map[int64]*serving.Config) bool {
-		return s.carryOut(0, access.Word{Version: s.accepted})
+		return s.execute(0, access.Word{Version: s.accepted})
 	}},
-	{"the holder hears the store", func(s *state, configs map[int64]*serving.Config) bool { return s.hear(0, configs) }},
-	{"the instance asks the holder", func(s *state, _ map[int64]*serving.Config) bool { return s.ask(1) }},
+	{"the holder hears the store", func(s *state, configs map[int64]*serving.Config) bool { return s.receive(0, configs) }},
+	{"the instance asks the holder", func(s *state, _ map[int64]*serving.Config) bool { return s.send(1) }},
 	{"the holder answers", func(s *state, configs map[int64]*serving.Config) bool {
-		config, asOf := s.dirOf(0, configs).Current()
-		return s.carryOut(1, access.Word{Version: config.Version, Age: s.now.Sub(asOf)})
+		config, confirmedAt := s.directoryOf(0, configs).Current()
+		return s.execute(1, access.Word{Version: config.Version, Age: s.now.Sub(confirmedAt)})
 	}},
-	{"the instance hears the holder", func(s *state, configs map[int64]*serving.Config) bool { return s.hear(1, configs) }},
+	{"the instance hears the holder", func(s *state, configs map[int64]*serving.Config) bool { return s.receive(1, configs) }},
 	{"a question is given up", func(s *state, _ map[int64]*serving.Config) bool {
-		given := s.call[0] != nil || s.call[1] != nil
-		s.call = [2]*call{}
-		return given
+		anyCall := s.calls[0] != nil || s.calls[1] != nil
+		s.calls = [2]*call{}
+		return anyCall
 	}},
 	{"the instance reads the configuration", func(s *state, _ map[int64]*serving.Config) bool {
 		if s.version[1] == s.accepted {
 			return false
 		}
-		s.version[1], s.asOf[1] = s.accepted, s.now
+		s.version[1], s.confirmedAt[1] = s.accepted, s.now
 		return true
 	}},
 }
 
-func (s *state) ask(who int) bool {
-	if s.call[who] != nil {
+// send sends a call from a node unless it has a call in progress.
+func (s *state) send(node int) bool {
+	if s.calls[node] != nil {
 		return false
 	}
-	s.call[who] = &call{asked: s.now}
+	s.calls[node] = &call{sentAt: s.now}
 	return true
 }
 
-func (s *state) carryOut(who int, w access.Word) bool {
-	if s.call[who] == nil || s.call[who].answer != nil {
+// execute executes the call of a node, with the given result.
+func (s *state) execute(node int, w access.Word) bool {
+	if s.calls[node] == nil || s.calls[node].answer != nil {
 		return false
 	}
-	s.call[who] = &call{asked: s.call[who].asked, answer: &w}
+	s.calls[node] = &call{sentAt: s.calls[node].sentAt, answer: &w}
 	return true
 }
 
-// hear takes an answer over. The holder is told of the configuration itself, the instance only
-// of its version.
-func (s *state) hear(who int, configs map[int64]*serving.Config) bool {
-	c := s.call[who]
+// receive applies an answer. The holder receives the configuration itself, the instance only its
+// version.
+func (s *state) receive(node int, configs map[int64]*serving.Config) bool {
+	c := s.calls[node]
 	if c == nil || c.answer == nil {
 		return false
 	}
-	s.call[who] = nil
-	if who == 0 {
+	s.calls[node] = nil
+	if node == 0 {
 		s.version[0] = max(s.version[0], c.answer.Version)
 	}
-	d := s.dirOf(who, configs)
-	d.Confirm(c.answer.Version, c.answer.AsOf(c.asked))
-	_, s.asOf[who] = d.Current()
+	d := s.directoryOf(node, configs)
+	d.Confirm(c.answer.Version, c.answer.AsOf(c.sentAt))
+	_, s.confirmedAt[node] = d.Current()
 	return true
 }
 
-// check has a request with the key arrive at both.
+// check tests a request with the key at both nodes.
 func (s *state) check(configs map[int64]*serving.Config) error {
-	for who, name := range []string{"holder", "instance"} {
-		config, asOf := s.dirOf(who, configs).Current()
+	for node, name := range []string{"holder", "instance"} {
+		config, confirmedAt := s.directoryOf(node, configs).Current()
 		key := serving.Credential{Form: serving.KeyGiven, Digest: serving.DigestKey("k")}
-		_, failure := access.Decide(config, &serving.Route{}, key, access.Knowledge{Age: s.now.Sub(asOf)}, searchPolicy)
+		_, failure := access.Authorize(config, &serving.Route{}, key, access.Knowledge{Age: s.now.Sub(confirmedAt)}, searchPolicy)
 		if over := s.now.Sub(s.revoked); failure == nil && s.accepted == 2 && over > searchPolicy.Bound {
-			return fmt.Errorf("the %s lets the key work %s after it was taken away", name, over)
+			return fmt.Errorf("the %s accepts the key %s after its removal", name, over)
 		}
 	}
 	return nil
 }
 
-// searchDepth is how many steps are searched: the shortest history in which the word of a newer
-// configuration lets a key of the one in force work for too long has nine.
+// searchDepth is the length of the sequences searched. The shortest sequence in which a report of a
+// newer configuration extends the use of a key of the old configuration beyond the bound has nine
+// steps.
 const searchDepth = 10
 
-// TestRevocationSearch searches all histories of so many steps for one in which a key works for
-// longer than the bound after it was taken away.
+// TestRevocationSearch searches all sequences of up to searchDepth steps for one in which a key
+// works for longer than the bound after its removal.
 func TestRevocationSearch(t *testing.T) {
 	configs := map[int64]*serving.Config{1: searchConfig(t, 1), 2: searchConfig(t, 2)}
-	start := state{now: searchStart, accepted: 1, version: [2]int64{1, 1}, asOf: [2]time.Time{searchStart, searchStart}}
-	seen, states, served := map[string]int{}, 0, 0
+	start := state{now: searchStart, accepted: 1, version: [2]int64{1, 1}, confirmedAt: [2]time.Time{searchStart, searchStart}}
+	seen, states, relying := map[string]int{}, 0, 0
 	var visit func(s state, path []string)
 	visit = func(s state, path []string) {
-		key := s.key()
-		if left, known := seen[key]; known && left >= searchDepth-len(path) {
+		key := s.fingerprint()
+		if depth, known := seen[key]; known && depth >= searchDepth-len(path) {
 			return
 		}
 		seen[key] = searchDepth - len(path)
@@ -175,8 +183,8 @@
 		if err := s.check(configs); err != nil {
 			t.Fatalf("%v: %v", path, err)
 		}
-		if s.accepted == 2 && s.now.Sub(s.asOf[1]) <= searchPolicy.Trusted() {
-			served++
+		if s.accepted == 2 && s.now.Sub(s.confirmedAt[1]) <= searchPolicy.Trusted() {
+			relying++
 		}
 		if len(path) == searchDepth {
 			return
@@ -190,19 +198,20 @@
 	}
 	visit(start, nil)
 	t.Logf("%d states", states)
-	if served == 0 {
-		t.Error("nobody relies on keys after one was taken away: nothing was searched")
+	if relying == 0 {
+		t.Error("no instance relies on keys after one was removed: the search is void")
 	}
 }
 
-func (s *state) key() string {
-	text := fmt.Sprint(s.now.Sub(searchStart), s.accepted, s.now.Sub(s.revoked), s.version, s.now.Sub(s.asOf[0]), s.now.Sub(s.asOf[1]))
-	for _, c := range s.call {
+// fingerprint returns a string that is equal for equal states.
+func (s *state) fingerprint() string {
+	text := fmt.Sprint(s.now.Sub(searchStart), s.accepted, s.now.Sub(s.revoked), s.version, s.now.Sub(s.confirmedAt[0]), s.now.Sub(s.confirmedAt[1]))
+	for _, c := range s.calls {
 		if c == nil {
 			text += " -"
 			continue
 		}
-		text += fmt.Sprint(" ", s.now.Sub(c.asked))
+		text += fmt.Sprint(" ", s.now.Sub(c.sentAt))
 		if c.answer != nil {
 			text += fmt.Sprint(*c.answer)
 		}
--- a/command/forward/access.go
+++ b/command/forward/access.go
@@ -39,7 +39,7 @@
 // admit decides by the key and the limit of its workspace whether a request for a route may run.
 func (f *Forwarder) admit(ctx context.Context, a admission, r *serving.Request) (admission, *verdict.Failure) {
 	a.refund = func() {}
-	workspace, failure := access.Decide(a.config, a.route, r.Credential, a.freshness, f.access.Policy())
+	workspace, failure := access.Authorize(a.config, a.route, r.Credential, a.freshness, f.access.Policy())
 	if failure != nil || workspace == nil {
 		return a, failure
 	}
