--- a/command/holder/account.go
+++ b/command/holder/account.go
@@ -199,7 +199,7 @@
 		Fence: record.Fence, Failing: failing, Instances: len(h.account.instances), Others: h.account.others(r.Name, now), Servers: h.dir.Since(r.SeenServers, r.Revision),
 	}
 	news.RemoteAtOnce = h.fleet.RemoteAtOnce()
-	news.Lease = h.lease.Standing(now)
+	news.Lease = h.lease.RenewalAge(now)
 	news.Admit = h.admissions(now)
 	news.Peers = h.account.peers.count(r.Domain, now)
 	news.Views, news.Seen = h.views.since(r.SeenViews, h.fleet, now)
--- a/command/holder/era.go
+++ b/command/holder/era.go
@@ -21,7 +21,7 @@
 		return
 	}
 	h.era = era
-	if h.lease.EraBegan(era) {
+	if h.lease.ObserveEra(era) {
 		record, _ := h.lease.Record()
 		h.log.WithFields(logrus.Fields{"fence": record.Fence, "era": era}).Warn("lease lost: the store came back from a copy")
 	}
@@ -32,7 +32,7 @@
 func (h *Holder) previous(current lease.Record, era int64) lease.Record {
 	first := h.params.Bootstrap && h.firstEra == era
 	if current.Fence == 0 && (first || era == 0) {
-		return lease.None(era)
+		return lease.NeverHeld(era)
 	}
 	return current
 }
--- a/command/holder/holder.go
+++ b/command/holder/holder.go
@@ -141,7 +141,7 @@
 func (h *Holder) Settled(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.lease.Over(now)
+	return h.lease.PriorOperationsEnded(now)
 }
 
 // Fence returns the fencing token held, 0 when there is none.
--- a/command/holder/lend.go
+++ b/command/holder/lend.go
@@ -40,7 +40,7 @@
 	if !h.lease.Held() {
 		return loans, false
 	}
-	if !h.lease.GoodToLend(now) {
+	if !h.lease.MayLend(now) {
 		h.lender.Heard(instance, uses.Workspaces, h.limitOf, now)
 		h.serverLender.Heard(instance, uses.Servers, h.serverLimits.Lent, now)
 		return loans, false
@@ -57,7 +57,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := clock.Exact()
-	if !h.lease.GoodToLend(now) {
+	if !h.lease.MayLend(now) {
 		return quota.Answer{}
 	}
 	limit, ok := h.serverLimits.Lent(server)
@@ -74,7 +74,7 @@
 	defer h.mu.Unlock()
 	now := clock.Exact()
 	limit, known := h.limitOf(workspace)
-	if !known || !h.lease.GoodToLend(now) {
+	if !known || !h.lease.MayLend(now) {
 		return quota.Answer{}
 	}
 	return h.lender.Ask(workspace, cost, limit, now)
--- a/command/holder/params.go
+++ b/command/holder/params.go
@@ -53,7 +53,7 @@
 func DefaultParams(name, address string, settle time.Duration) Params {
 	return Params{
 		Name: name, Address: address,
-		Lease: lease.Params{Validity: validity, Transit: transit, Settle: settle + settleSlack, Lending: lending},
+		Lease: lease.Params{Validity: validity, Transit: transit, Settle: settle + settleSlack, LendingValidity: lending},
 		Tick:  200 * time.Millisecond, ReportLag: 350 * time.Millisecond, OrderPause: 20 * time.Millisecond, OrderPatience: orderPatience,
 		Fleet: replicas.DefaultParams(),
 	}
--- a/command/holder/tenure.go
+++ b/command/holder/tenure.go
@@ -25,7 +25,7 @@
 		h.EraBegan(revision.Era())
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.lease.Saw(revision, clock.Exact())
+		h.lease.Observe(revision, clock.Exact())
 	}
 	return record, revision, err
 }
@@ -34,14 +34,14 @@
 func (h *Holder) Heard(s lease.Standing) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lease.Heard(s, clock.Exact())
+	h.lease.ObserveRemote(s, clock.Exact())
 }
 
 // Standing returns what this instance can tell others of the lease.
 func (h *Holder) Standing() lease.Standing {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.lease.Standing(clock.Now())
+	return h.lease.RenewalAge(clock.Now())
 }
 
 // TakeOver writes this instance into the record in place of current, which was
@@ -61,7 +61,7 @@
 		return err
 	}
 	h.mu.Lock()
-	h.lease.Won(current, revision, candidate, written, sent, clock.Now())
+	h.lease.Acquired(current, revision, candidate, written, sent, clock.Now())
 	from := h.lease.OrderFrom("")
 	h.fleet = replicas.NewFleet(h.params.Fleet)
 	h.fleet.SetLimits(h.limits)
@@ -116,7 +116,7 @@
 		h.mu.Unlock()
 		return record, revision, false
 	}
-	lent := h.lease.GoodToLend(clock.Exact())
+	lent := h.lease.MayLend(clock.Exact())
 	record, revision, ok = h.lease.Release(clock.Now())
 	if lent {
 		record.Left = h.lender.Left(clock.Now())
@@ -244,7 +244,7 @@
 	now := clock.Exact()
 	token, ok := h.lease.Fence(engine, now)
 	if ok {
-		h.lease.Ordered(engine, now)
+		h.lease.RecordOrder(engine, now)
 	}
 	return token, ok
 }
@@ -283,7 +283,7 @@
 // store does not confirm the lease, zero while orders can be sent, and has the fleet
 // plan nothing meanwhile.
 func (h *Holder) suspendInOutage(now time.Time) (outage time.Duration) {
-	if !h.failingSince.IsZero() && !h.lease.Good(now) {
+	if !h.failingSince.IsZero() && !h.lease.Valid(now) {
 		outage = now.Sub(h.failingSince)
 	}
 	h.fleet.Suspend(outage > 0)
--- a/command/lease/era_test.go
+++ b/command/lease/era_test.go
@@ -7,25 +7,27 @@
 	"github.com/martenport/martenport/store"
 )
 
-// TestLostLeaseAdoptedFromCopy: a record of its own that came back with a copy gives a lost lease back to nobody.
-func TestLostLeaseAdoptedFromCopy(t *testing.T) {
+// TestLostLeaseNotAdoptedFromBackup: the lease is lost when the store is restored from a backup. The backup may
+// contain the instance's own record; reading it must not give the lease back.
+func TestLostLeaseNotAdoptedFromBackup(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := New(testParams, "a")
-	record := a.Candidate(None(0), 0, "")
-	a.Won(None(0), 0, record, store.RevisionOf(0, 5), now, now)
-	if a.EraBegan(0) || !a.EraBegan(1) || a.Held() {
-		t.Error("want the lease lost by a new era, and by that alone")
+	record := a.Candidate(NeverHeld(0), 0, "")
+	a.Acquired(NeverHeld(0), 0, record, store.RevisionOf(0, 5), now, now)
+	if a.ObserveEra(0) || !a.ObserveEra(1) || a.Held() {
+		t.Error("want the lease lost when a new era begins, and only then")
 	}
 	if a.Adopt(record, store.RevisionOf(1, 5)) {
-		t.Error("adopted")
+		t.Error("adopted a record restored from a backup")
 	}
 	if !record.Vacant(1) || record.Vacant(0) {
-		t.Error("want the record vacant in the new era, and in that alone")
+		t.Error("want the record vacant in the new era only")
 	}
 }
 
-// TestTokenGivenOutTwice: no token of an era is one of an era before, whatever record the copy has.
-func TestTokenGivenOutTwice(t *testing.T) {
+// TestFencingTokensUniqueAcrossEras: the record in a restored backup has an old fencing token or none. The tokens
+// issued after the restore must still be higher than all tokens of earlier eras.
+func TestFencingTokensUniqueAcrossEras(t *testing.T) {
 	before := New(testParams, "b").Candidate(Record{Fence: FirstFence(2) + 1000, Era: 2}, 2, "")
 	for _, copied := range []Record{{}, {Fence: 1}, {Fence: FirstFence(2) + 7, Era: 2}} {
 		if next := New(testParams, "c").Candidate(copied, 3, ""); next.Fence <= before.Fence {
--- a/command/lease/lease.go
+++ b/command/lease/lease.go
@@ -1,34 +1,28 @@
-// Package lease decides when an instance may order engines.
+// Package lease decides when an instance may send orders to engines.
 //
-// One instance at a time is the holder. A record in the store names it, with a
-// fencing token that rises at each take-over. The record is replaced by
-// conditional writes only, so a token belongs to one holder.
+// One instance at a time is the holder. A record in the store names it, together with a fencing token that increases
+// with each take-over. The record is replaced by conditional writes only, so each token belongs to a single holder.
 //
-// The holder may order while less than Validity, less the time that an order may
-// be on its way, has passed on its steady clock since it sent the last renewal
-// that the store confirmed. A renewal succeeds only while the record is still the
-// holder's, at the revision that the holder knows. So a renewal is needed only when
+// The holder may send orders for Validity, less the maximum time that an order is in transit, after it sent the last
+// renewal that the store confirmed. This is measured on the holder's steady clock. A renewal succeeds only while the
+// record is still the holder's and at the revision that the holder knows. A renewal is therefore needed only when
 // there is something to order.
 //
-// A successor writes itself into the record first, which makes every later
-// renewal of the old holder fail. The old holder may still order for Validity after
-// the renewal that made the revision which the successor replaced; Settle, which
-// the deployment asks for between orders of two holders, comes after that. Each
-// renewal makes a revision of its own, so whoever knew of that revision at some
-// time knows that the renewal had been sent by then (Sighting). A successor that
-// had not heard of the revision before counts from its take-over. No two clocks
-// are compared. A holder that releases the lease says when it last ordered which
-// engine, so that its successor waits for those alone.
+// A successor first writes itself into the record, which makes every later renewal by the old holder fail. The old
+// holder may still send orders until Validity has passed since the renewal that created the replaced revision.
+// Settle, the minimum time that the deployment requires between the orders of two holders, is added to that. Each
+// renewal creates a new revision, so an instance that knew of a revision at some time also knows that the renewal
+// had been sent by then (Observation). A successor that did not know of the revision before counts from its
+// take-over. No clocks of different machines are compared. A holder that releases the lease records when it last
+// ordered each engine, so its successor waits for those engines only.
 //
-// A store that comes back from a copy has a record that says nothing of who has held the lease
-// since the copy, and begins a new era. A lease of the era before is lost to its holder with the first word
-// of that. Records name their era: to one that came back with a copy a successor counts as to an unknown holder,
-// which renewed the lease until the take-over. Fencing tokens have the era in their upper bits, so that
-// none is given out twice.
+// A store that is restored from a backup begins a new era. Its record does not show who has held the lease since the
+// backup was made. A holder loses a lease of an earlier era when it first learns of the new era. Records name their
+// era. A successor treats a restored record as that of an unknown holder which renewed the lease until the
+// take-over. Fencing tokens contain the era in their upper bits, so no token is issued twice.
 //
-// A paused holder may still send one order after its check. That order carries
-// the old token and the engine's sequence that it was decided on; the engine
-// refuses it once the successor has ordered anything there.
+// A holder that is paused after its check may still send one order. That order carries the old token and the engine
+// sequence number on which it was decided. The engine refuses it once the successor has ordered anything there.
 package lease
 
 import (
@@ -37,53 +31,50 @@
 	"github.com/martenport/martenport/store"
 )
 
-// Record is what the store holds.
+// Record is the lease record in the store.
 type Record struct {
-	// Holder is the machine's name. Its processes follow each other on it, so
-	// that a restarted one need not wait for its predecessor once that had
-	// settled.
+	// Holder is the name of the machine. Processes on one machine run one after the other, so a restarted process
+	// need not wait for its predecessor if the predecessor had settled.
 	Holder string `json:"holder"`
-	// Address is where other instances reach the holder.
+	// Address is the address at which other instances reach the holder.
 	Address string `json:"address"`
 	// Fence is the fencing token.
 	Fence int64 `json:"fence"`
-	// Era is the store's in which the record was written.
+	// Era is the era of the store in which the record was written.
 	Era int64 `json:"era,omitempty"`
-	// Settled: no holder before may order any more. Until then a process of the
-	// holder's that starts anew has to wait like any successor.
+	// Settled reports that no earlier holder may send orders any more. Until it is set, a restarted process on the
+	// holder's machine has to wait like any other successor.
 	Settled bool `json:"settled"`
-	// Renewals counts the renewals under this token, so that each makes a revision of
-	// the record. It is 0 in records of holders whose renewals change nothing, where a
-	// revision says nothing of the last one, and until the first renewal of one that
-	// follows such a holder, which may have renewed the lease after its successor had
-	// sent the take-over.
+	// Renewals counts the renewals under this token, so that each of them creates a new revision of the record. It is
+	// 0 in records of holders whose renewals do not change the record; the revision then does not show when the last
+	// renewal was sent. The direct successor of such a holder also writes 0 until its own first renewal, because the
+	// old holder may have renewed the lease after the take-over was sent.
 	Renewals int64 `json:"renewals,omitempty"`
-	// Released: the holder has stopped ordering.
+	// Released reports that the holder has stopped sending orders.
 	Released bool `json:"released"`
-	// Ordered, in a released record, is how long before the release the last order
-	// arrived at each engine, at the latest, in milliseconds. An engine that is
-	// not named got none within Settle.
+	// Ordered is set in a released record. It maps each engine to the minimum age of the last order at the time of
+	// the release, in milliseconds: the order arrived at least that long before. Engines that are not listed received
+	// no order within Settle.
 	Ordered map[string]int64 `json:"ordered,omitempty"`
-	// Left, in a released record, is what the holder had left of what it lends, by workspace.
+	// Left is set in a released record. It maps each workspace to the quota that the holder could still grant.
 	Left map[string]float64 `json:"left,omitempty"`
 }
 
-// Params are the times of a lease.
+// Params are the durations that govern a lease.
 type Params struct {
-	// Validity is how long after a confirmed renewal was sent orders may arrive.
+	// Validity is how long after sending a confirmed renewal orders may still arrive at engines.
 	Validity time.Duration
-	// Transit is how long an order may be on its way after it was sent, before
-	// it is given up. None is sent in the last Transit of Validity.
+	// Transit is the maximum time that an order is in transit; then the call is cancelled. No order is sent in the
+	// last Transit of Validity.
 	Transit time.Duration
-	// Settle must pass between orders of two holders.
+	// Settle is the minimum time between the orders of two holders.
 	Settle time.Duration
-	// Lending is how long after a confirmed renewal was sent what the holder lends may
-	// arrive. It may be longer than Validity, since nothing has to pass between two holders
-	// that lend.
-	Lending time.Duration
+	// LendingValidity is how long after sending a confirmed renewal the quota that the holder lends may still arrive.
+	// It may be longer than Validity, because no waiting time is required between two holders that lend.
+	LendingValidity time.Duration
 }
 
-// Lease is one instance's right to order. It is not safe for concurrent use.
+// Lease is one instance's permission to send orders. It is not safe for concurrent use.
 type Lease struct {
 	params Params
 	self   string
@@ -93,106 +84,107 @@
 	held     bool
 	// renewed is when the last confirmed renewal was sent.
 	renewed time.Time
-	// from is when the first order may be sent, and over is from when nothing that a holder
-	// before has let begin goes on unknown, which its renewals do not bound.
-	from, over time.Time
-	// lend is from when no holder before lends.
-	lend time.Time
-	// knows is from when this process knows of every order that still counts:
-	// one that follows another on its machine does not know of the other's.
-	knows time.Time
-	// others is when other holders last ordered each engine, at the latest, and
-	// ordered when this one did.
-	others, ordered map[string]time.Time
-	// seen is what is known of the newest revision of the record.
-	seen Sighting
+	// orderFrom is the earliest time to send an order. priorOperationsEnd is the time from which no operation started
+	// by an earlier holder is still running unknown to this one; renewals do not bound that time.
+	orderFrom, priorOperationsEnd time.Time
+	// lendFrom is the time from which no earlier holder lends quota.
+	lendFrom time.Time
+	// ownOrdersKnownFrom is the time from which this process knows every order that still counts. A process that
+	// succeeds another one on its machine does not know the orders of its predecessor.
+	ownOrdersKnownFrom time.Time
+	// priorOrders is the latest time at which earlier holders may have ordered each engine. ownOrders is when this
+	// holder last ordered each engine.
+	priorOrders, ownOrders map[string]time.Time
+	// latest is the best observation of the newest known revision of the record.
+	latest Observation
 }
 
-// New returns the lease of the instance on the machine named self, not held.
+// New returns a lease that is not held, for the instance on the machine named self.
 func New(p Params, self string) *Lease { return &Lease{params: p, self: self} }
 
-// Candidate returns the record to write in place of current to take over, in an era of the store.
+// Candidate returns the record to write in place of current in order to take over, in the given era of the store.
 func (l *Lease) Candidate(current Record, era int64, address string) Record {
 	fence := max(current.Fence, FirstFence(era)) + 1
-	current = current.asOf(era)
-	candidate := Record{Holder: l.self, Address: address, Fence: fence, Era: era, Settled: l.follows(current), Renewals: 1}
+	current = current.inEra(era)
+	candidate := Record{Holder: l.self, Address: address, Fence: fence, Era: era, Settled: l.noOtherHolderMayOrder(current), Renewals: 1}
 	if current.Fence != 0 && current.Renewals == 0 {
 		candidate.Renewals = 0
 	}
 	return candidate
 }
 
-// follows reports whether no other machine's holder may order after previous.
-func (l *Lease) follows(previous Record) bool {
+// noOtherHolderMayOrder reports whether no holder on another machine may still send orders after previous.
+func (l *Lease) noOtherHolderMayOrder(previous Record) bool {
 	return previous.Fence == 0 || previous.Holder == l.self && previous.Settled && !previous.Released
 }
 
-// Won notes that the store has accepted record at revision in place of previous (the
-// zero Record if there was none), which was at revision replaced. sent is when the
-// write was sent, now when its answer came.
-func (l *Lease) Won(previous Record, replaced store.Revision, record Record, revision store.Revision, sent, now time.Time) {
-	previous = previous.asOf(record.Era)
+// Acquired records that the store accepted record at the given revision in place of previous, which was at
+// replacedRevision. previous is the zero Record if there was none. sent is when the write was sent and now is when
+// its response arrived.
+func (l *Lease) Acquired(previous Record, replacedRevision store.Revision, record Record, revision store.Revision, sent, now time.Time) {
+	previous = previous.inEra(record.Era)
 	l.record, l.revision, l.held, l.renewed = record, revision, true, sent
-	l.knows = time.Time{}
-	l.others, l.ordered = map[string]time.Time{}, map[string]time.Time{}
-	l.from, l.over, l.lend = now, now, now
+	l.ownOrdersKnownFrom = time.Time{}
+	l.priorOrders, l.ownOrders = map[string]time.Time{}, map[string]time.Time{}
+	l.orderFrom, l.priorOperationsEnd, l.lendFrom = now, now, now
 	switch {
-	case l.follows(previous):
+	case l.noOtherHolderMayOrder(previous):
 		if previous.Fence != 0 {
-			l.knows = now.Add(l.params.Settle)
+			l.ownOrdersKnownFrom = now.Add(l.params.Settle)
 		}
 	case previous.Released:
 		for engine, age := range previous.Ordered {
-			l.others[engine] = now.Add(-time.Duration(age) * time.Millisecond)
+			l.priorOrders[engine] = now.Add(-time.Duration(age) * time.Millisecond)
 		}
 	default:
-		whole := l.params.Validity + l.params.Settle
-		renewed := l.lastRenewal(previous, replaced, now)
-		l.from = now.Add(max(0, whole-now.Sub(renewed)))
-		l.over = now.Add(whole)
-		l.lend = renewed.Add(l.params.Lending)
+		fullWait := l.params.Validity + l.params.Settle
+		renewed := l.lastRenewal(previous, replacedRevision, now)
+		l.orderFrom = now.Add(max(0, fullWait-now.Sub(renewed)))
+		l.priorOperationsEnd = now.Add(fullWait)
+		l.lendFrom = renewed.Add(l.params.LendingValidity)
 	}
 }
 
-// Renewal returns the record to write, at the revision of the last one, to renew
-// the lease at now.
+// Renewal returns the record to write at now to renew the lease, and the revision that it replaces.
 func (l *Lease) Renewal(now time.Time) (record Record, revision store.Revision) {
 	record = l.record
-	record.Settled = record.Settled || l.settled(now)
+	record.Settled = record.Settled || l.priorHoldersSettled(now)
 	record.Renewals++
 	return record, l.revision
 }
 
-// settled reports whether the time of all holders before is over.
-func (l *Lease) settled(now time.Time) bool {
-	for engine := range l.others {
+// priorHoldersSettled reports whether no earlier holder may send orders any more.
+func (l *Lease) priorHoldersSettled(now time.Time) bool {
+	for engine := range l.priorOrders {
 		if now.Before(l.OrderFrom(engine)) {
 			return false
 		}
 	}
-	return !now.Before(l.from)
+	return !now.Before(l.orderFrom)
 }
 
-// Renewed notes that the store has confirmed a renewal that was sent at sent.
+// Renewed records that the store has confirmed a renewal that was sent at sent.
 func (l *Lease) Renewed(record Record, revision store.Revision, sent time.Time) {
 	if l.held && record.Fence == l.record.Fence && sent.After(l.renewed) {
 		l.record, l.renewed, l.revision = record, sent, revision
 	}
 }
 
-// Over reports whether the lease is held and what holders before have let begin is over, or
-// known. Orders may be sent before that: their time is bounded by renewals.
-func (l *Lease) Over(now time.Time) bool { return l.held && !now.Before(l.over) }
+// PriorOperationsEnded reports whether the lease is held and the operations that earlier holders started have ended
+// or are known. Orders may be sent before that, because they are bounded by renewals.
+func (l *Lease) PriorOperationsEnded(now time.Time) bool {
+	return l.held && !now.Before(l.priorOperationsEnd)
+}
 
-// GoodToLend reports whether the lease is held and the holder may lend at now what one instance
-// at a time may: no holder before lends any more, and none after does yet.
-func (l *Lease) GoodToLend(now time.Time) bool {
-	return l.held && !now.Before(l.lend) && now.Sub(l.renewed) < l.params.Lending-l.params.Transit
+// MayLend reports whether the lease is held and the holder may lend quota at now. Only one instance at a time may:
+// no earlier holder lends any more and no later one lends yet.
+func (l *Lease) MayLend(now time.Time) bool {
+	return l.held && !now.Before(l.lendFrom) && now.Sub(l.renewed) < l.params.LendingValidity-l.params.Transit
 }
 
-// Adopt takes over the record at revision as the store has it, and reports whether it
-// is still this holder's, which has then written it by a renewal without an answer.
-// That renewal counts for nothing: others may have known of the revision for long.
+// Adopt takes over the record that the store has at revision if it is still this holder's. The holder then wrote it
+// by a renewal whose response was lost. Adopt reports whether the record was taken over. The adopted renewal does
+// not extend the lease, because other instances may have known of the revision for a long time.
 func (l *Lease) Adopt(record Record, revision store.Revision) bool {
 	if record.Holder != l.self || record.Fence != l.record.Fence || record.Released || revision.Era() != l.revision.Era() {
 		return false
@@ -201,10 +193,10 @@
 	return true
 }
 
-// Settled reports whether the record says that no holder before may order.
+// Settled reports whether the record states that no earlier holder may send orders.
 func (l *Lease) Settled() bool { return l.record.Settled }
 
-// Lost notes that the record is another's.
+// Lost records that another instance has replaced the record.
 func (l *Lease) Lost() { l.held = false }
 
 // Held reports whether the record is this instance's, as far as it knows.
@@ -213,63 +205,62 @@
 // Record returns the record as last written, and its revision in the store.
 func (l *Lease) Record() (Record, store.Revision) { return l.record, l.revision }
 
-// OrderFrom returns when the first order may be sent to an engine.
+// OrderFrom returns the earliest time to send an order to an engine.
 func (l *Lease) OrderFrom(engine string) time.Time {
-	if last, known := l.others[engine]; known && last.Add(l.params.Settle).After(l.from) {
+	if last, found := l.priorOrders[engine]; found && last.Add(l.params.Settle).After(l.orderFrom) {
 		return last.Add(l.params.Settle)
 	}
-	return l.from
+	return l.orderFrom
 }
 
-// Ordered notes that an order was sent to an engine.
-func (l *Lease) Ordered(engine string, now time.Time) { l.ordered[engine] = now }
+// RecordOrder records that an order was sent to an engine.
+func (l *Lease) RecordOrder(engine string, now time.Time) { l.ownOrders[engine] = now }
 
-// Release gives the lease up and returns the record that says so. ok is false
-// if an order that this process does not know of may still count: a successor
-// must then wait as for any other holder.
+// Release gives up the lease and returns the record to write, with the revision that it replaces. ok is false if an
+// order that this process does not know of may still count. A successor must then wait as it would for any other
+// holder.
 func (l *Lease) Release(now time.Time) (record Record, revision store.Revision, ok bool) {
 	record, revision = l.record, l.revision
-	ok = l.held && !now.Before(l.from) && !now.Before(l.knows)
+	ok = l.held && !now.Before(l.orderFrom) && !now.Before(l.ownOrdersKnownFrom)
 	l.held = false
 	record.Released = true
 	record.Ordered = map[string]int64{}
-	name := func(engine string, last time.Time) {
+	addOrder := func(engine string, last time.Time) {
 		if age := max(0, now.Sub(last)); age < l.params.Settle {
 			record.Ordered[engine] = age.Milliseconds()
 		}
 	}
-	for engine, last := range l.others {
-		name(engine, last)
+	for engine, last := range l.priorOrders {
+		addOrder(engine, last)
 	}
-	for engine, checked := range l.ordered { // it may have arrived Transit later
-		name(engine, checked.Add(l.params.Transit))
+	for engine, sent := range l.ownOrders { // the order may have arrived Transit later
+		addOrder(engine, sent.Add(l.params.Transit))
 	}
 	return record, revision, ok
 }
 
-// Fence returns the fencing token of an order to an engine sent at now; ok is
-// false when none may be sent. It must be asked immediately before each send.
+// Fence returns the fencing token for an order that is sent to an engine at now. ok is false if no order may be
+// sent. It must be called immediately before each send.
 func (l *Lease) Fence(engine string, now time.Time) (fence int64, ok bool) {
-	if now.Before(l.OrderFrom(engine)) || !l.Good(now) {
+	if now.Before(l.OrderFrom(engine)) || !l.Valid(now) {
 		return 0, false
 	}
 	return l.record.Fence, true
 }
 
-// Good reports whether the lease is held and its last renewal recent enough for an
-// order at now.
-func (l *Lease) Good(now time.Time) bool {
+// Valid reports whether the lease is held and its last renewal is recent enough to send an order at now.
+func (l *Lease) Valid(now time.Time) bool {
 	return l.held && now.Sub(l.renewed) < l.params.Validity-l.params.Transit
 }
 
-// renewalShare is the part of the usable time after which a renewal is due: at a
-// half, one renewal may fail and be repeated without a gap.
-const renewalShare = 2
+// renewalDivisor is the fraction of the usable time after which a renewal is due, as a divisor. At one half, one
+// renewal may fail and be repeated without a gap.
+const renewalDivisor = 2
 
 // RenewalDue reports whether a renewal should be sent before an order at now.
 func (l *Lease) RenewalDue(now time.Time) bool {
-	if l.held && !l.record.Settled && l.settled(now) {
+	if l.held && !l.record.Settled && l.priorHoldersSettled(now) {
 		return true
 	}
-	return l.held && now.Sub(l.renewed) >= (l.params.Validity-l.params.Transit)/renewalShare
+	return l.held && now.Sub(l.renewed) >= (l.params.Validity-l.params.Transit)/renewalDivisor
 }
--- a/command/lease/lease_test.go
+++ b/command/lease/lease_test.go
@@ -13,189 +13,189 @@
 
 var testParams = Params{Validity: 2500 * time.Millisecond, Transit: 500 * time.Millisecond, Settle: 3200 * time.Millisecond}
 
-// TestNoOrderBeforeTheOldHoldersLast: a successor waits for the validity and the
-// time between holders, counted from the answer to its take-over.
-func TestNoOrderBeforeTheOldHoldersLast(t *testing.T) {
+// TestSuccessorWaitsForValidityAndSettle guards against a successor that sends orders while those of the old holder
+// may still arrive: it waits for Validity and Settle, counted from the response to its take-over.
+func TestSuccessorWaitsForValidityAndSettle(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := New(testParams, "b")
-	b.Won(Record{Holder: "a", Fence: 1}, 0, Record{Holder: "b", Fence: 2}, 7, now, now)
+	b.Acquired(Record{Holder: "a", Fence: 1}, 0, Record{Holder: "b", Fence: 2}, 7, now, now)
 	wait := testParams.Validity + testParams.Settle
 	b.Renewed(Record{Holder: "b", Fence: 2}, 7, now.Add(wait))
 	if _, ok := b.Fence("e", now.Add(wait-time.Millisecond)); ok {
-		t.Error("ordered while the old holder's orders may still arrive")
+		t.Error("ordered while the old holder's orders may still arrive at engines")
 	}
 	if fence, ok := b.Fence("e", now.Add(wait)); !ok || fence != 2 {
 		t.Errorf("fence %d, %v", fence, ok)
 	}
 }
 
-// TestCountsFromTheLastRenewal: a successor that has heard when the revision which it
-// replaced was made waits from then on. Of another revision, or of a holder whose
-// renewals make none, it knows nothing; and nobody's wait ends before its take-over.
-func TestCountsFromTheLastRenewal(t *testing.T) {
+// TestWaitCountsFromKnownRenewal: a successor that knows when the replaced revision was created counts its wait from
+// then. A report on another revision, or on a holder whose renewals create no revision, does not shorten the wait.
+// No wait ends before the take-over.
+func TestWaitCountsFromKnownRenewal(t *testing.T) {
 	now := time.Unix(1000, 0)
-	whole := testParams.Validity + testParams.Settle
+	fullWait := testParams.Validity + testParams.Settle
 	for _, c := range []struct {
 		what      string
 		renewals  int64
 		replaced  store.Revision
 		age, want time.Duration
 	}{
-		{"heard of", 3, 7, 2 * time.Second, whole - 2*time.Second},
+		{"heard of", 3, 7, 2 * time.Second, fullWait - 2*time.Second},
 		{"long ago", 3, 7, time.Minute, 0},
-		{"of the one before", 3, 8, 2 * time.Second, whole},
-		{"renewals that change nothing", 0, 7, 2 * time.Second, whole},
+		{"of the one before", 3, 8, 2 * time.Second, fullWait},
+		{"renewals that change nothing", 0, 7, 2 * time.Second, fullWait},
 	} {
 		b := New(testParams, "b")
-		b.Heard(Standing{Revision: 7, Age: c.age}, now)
-		b.Heard(Standing{Revision: 7, Age: 0}, now)           // from one that learned of it later
-		b.Heard(Standing{Revision: 6, Age: time.Minute}, now) // that has been replaced
-		b.Won(Record{Holder: "a", Fence: 1, Renewals: c.renewals}, c.replaced, Record{Holder: "b", Fence: 2}, 9, now, now)
+		b.ObserveRemote(Standing{Revision: 7, Age: c.age}, now)
+		b.ObserveRemote(Standing{Revision: 7, Age: 0}, now)           // from an instance that learned of it later
+		b.ObserveRemote(Standing{Revision: 6, Age: time.Minute}, now) // of a replaced revision
+		b.Acquired(Record{Holder: "a", Fence: 1, Renewals: c.renewals}, c.replaced, Record{Holder: "b", Fence: 2}, 9, now, now)
 		if got := b.OrderFrom("e").Sub(now); got != c.want {
 			t.Errorf("%s: orders after %v, want %v", c.what, got, c.want)
 		}
 	}
 }
 
-// TestFollowsUncountedRenewals: who succeeds a holder whose renewals change nothing does not
-// have others count from its take-over: that one may have renewed the lease while the
-// take-over was on its way. From its own first renewal on they do.
-func TestFollowsUncountedRenewals(t *testing.T) {
+// TestRenewalCounterAfterHolderWithoutCounter: the successor of a holder that does not count its renewals writes 0
+// renewals until its own first renewal, because the old holder may have renewed the lease while the take-over was in
+// transit. Otherwise other instances would count their wait from the take-over, which is too early.
+func TestRenewalCounterAfterHolderWithoutCounter(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := New(testParams, "b")
 	before := Record{Holder: "a", Fence: 1}
 	record := b.Candidate(before, 0, "")
-	b.Won(before, 7, record, 8, now, now)
+	b.Acquired(before, 7, record, 8, now, now)
 	renewed, _ := b.Renewal(now)
 	for _, c := range []struct {
 		record Record
 		counts bool
 	}{{record, false}, {renewed, true}, {New(testParams, "c").Candidate(renewed, 0, ""), true}, {b.Candidate(Record{}, 0, ""), true}} {
 		if c.counts != (c.record.Renewals > 0) {
-			t.Errorf("%+v: counted from: %v", c.record, !c.counts)
+			t.Errorf("%+v: has a renewal count: %v", c.record, !c.counts)
 		}
 	}
 }
 
-// TestLostAnswerCountsForNothing: a renewal whose answer was lost has made a revision. The
-// holder goes on from it once it has renewed the lease again, and not before: others may
-// have known of that revision for long.
-func TestLostAnswerCountsForNothing(t *testing.T) {
+// TestUnconfirmedRenewalDoesNotExtendLease: a renewal whose response was lost has created a revision. The holder
+// adopts that revision, but may order only after it has renewed the lease again, because other instances may have
+// known of the revision for a long time.
+func TestUnconfirmedRenewalDoesNotExtendLease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := New(testParams, "a")
 	record := a.Candidate(Record{}, 0, "")
-	a.Won(Record{}, 0, record, 1, now, now)
-	lost, _ := a.Renewal(now.Add(time.Second))
-	if !a.Adopt(lost, 2) {
-		t.Fatal("its own record is another's")
+	a.Acquired(Record{}, 0, record, 1, now, now)
+	unconfirmed, _ := a.Renewal(now.Add(time.Second))
+	if !a.Adopt(unconfirmed, 2) {
+		t.Fatal("did not adopt its own record")
 	}
 	if _, ok := a.Fence("e", now.Add(testParams.Validity-testParams.Transit)); ok {
-		t.Error("an order on the strength of a renewal without an answer")
+		t.Error("order sent on the basis of an unconfirmed renewal")
 	}
 	again, revision := a.Renewal(now.Add(3 * time.Second))
-	if revision != 2 || again.Renewals != lost.Renewals+1 {
-		t.Errorf("renews %+v at revision %d", again, revision)
+	if revision != 2 || again.Renewals != unconfirmed.Renewals+1 {
+		t.Errorf("renewal writes %+v at revision %d", again, revision)
 	}
 	if a.Adopt(Record{Holder: "b", Fence: 2}, 3) || a.Adopt(Record{Holder: "a", Fence: 3}, 3) {
-		t.Error("took another's record for its own")
+		t.Error("adopted the record of another holder or token")
 	}
 }
 
-// TestNoOrderWithOldRenewal: a holder orders only while its last confirmed renewal
-// is young enough that the order arrives within Validity.
-func TestNoOrderWithOldRenewal(t *testing.T) {
+// TestNoOrderArrivesAfterValidity: a holder sends orders only while its last confirmed renewal is recent enough that
+// they arrive within Validity.
+func TestNoOrderArrivesAfterValidity(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New(testParams, "a")
 	record := l.Candidate(Record{}, 0, "")
-	l.Won(Record{}, 0, record, 1, now, now)
+	l.Acquired(Record{}, 0, record, 1, now, now)
 	usable := testParams.Validity - testParams.Transit
 	if _, ok := l.Fence("e", now.Add(usable-time.Millisecond)); !ok {
-		t.Error("no order though the renewal is young")
+		t.Error("no order allowed though the last renewal is recent")
 	}
 	if _, ok := l.Fence("e", now.Add(usable)); ok {
-		t.Error("an order that may arrive after Validity")
+		t.Error("allowed an order that may arrive after Validity")
 	}
 	l.Renewed(record, 1, now.Add(time.Second))
 	if _, ok := l.Fence("e", now.Add(usable)); !ok {
-		t.Error("no order after a renewal")
+		t.Error("no order allowed after a renewal")
 	}
 }
 
-// TestReleasedNamesEngines: after a release only the engines that were ordered
-// within Settle are waited for, also those of the holder before.
-func TestReleasedNamesEngines(t *testing.T) {
+// TestReleaseRecordsRecentlyOrderedEngines: after a release the successor waits only for engines that were ordered
+// within Settle, including those ordered by the holder before the one that released.
+func TestReleaseRecordsRecentlyOrderedEngines(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := New(testParams, "a")
-	a.Won(Record{Holder: "z", Fence: 1, Released: true, Ordered: map[string]int64{"old": 100}}, 0, Record{Holder: "a", Fence: 2}, 1, now, now)
-	a.Ordered("e", now.Add(500*time.Millisecond))
+	a.Acquired(Record{Holder: "z", Fence: 1, Released: true, Ordered: map[string]int64{"old": 100}}, 0, Record{Holder: "a", Fence: 2}, 1, now, now)
+	a.RecordOrder("e", now.Add(500*time.Millisecond))
 	record, _, ok := a.Release(now.Add(time.Second))
 	if !ok || !record.Released {
 		t.Fatalf("release: %+v, %v", record, ok)
 	}
 	if _, ok := a.Fence("e", now.Add(time.Second)); ok {
-		t.Error("orders after its release")
+		t.Error("order allowed after the release")
 	}
 	b := New(testParams, "b")
 	won := now.Add(2 * time.Second)
-	b.Won(record, 0, b.Candidate(record, 0, ""), 2, won, won)
-	// e was ordered 500 ms before the release, and the order may have arrived
-	// Transit later; old's age was told by the holder before.
+	b.Acquired(record, 0, b.Candidate(record, 0, ""), 2, won, won)
+	// e was ordered 500 ms before the release and the order may have arrived Transit later. The age for old comes
+	// from the record of the earlier holder.
 	for engine, age := range map[string]time.Duration{"e": 500*time.Millisecond - testParams.Transit, "old": 1100 * time.Millisecond} {
 		if want := won.Add(testParams.Settle - age); !b.OrderFrom(engine).Equal(want) {
 			t.Errorf("%s from %v, want %v", engine, b.OrderFrom(engine), want)
 		}
 	}
 	if _, ok := b.Fence("other", won); !ok {
-		t.Error("waits for an engine that nobody ordered")
+		t.Error("waits for an engine that no holder has ordered")
 	}
 }
 
-// TestReleaseWhileUnsettled: who may not order yet cannot say what the holder
-// before has ordered.
+// TestReleaseWhileUnsettled: an instance that may not send orders yet does not know what its predecessor ordered, so
+// it cannot hand the lease over.
 func TestReleaseWhileUnsettled(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := New(testParams, "a")
-	a.Won(Record{Holder: "z", Fence: 1}, 0, Record{Holder: "a", Fence: 2}, 1, now, now)
+	a.Acquired(Record{Holder: "z", Fence: 1}, 0, Record{Holder: "a", Fence: 2}, 1, now, now)
 	if _, _, ok := a.Release(now.Add(time.Second)); ok {
-		t.Error("released what it did not have yet")
+		t.Error("released the lease before it was allowed to send orders")
 	}
 }
 
-// TestRestartOnOneMachine: processes of one machine are one holder.
+// TestRestartOnOneMachine: a process that succeeds a settled holder on the same machine need not wait.
 func TestRestartOnOneMachine(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := New(testParams, "a")
-	a.Won(Record{Holder: "a", Fence: 4, Settled: true}, 0, Record{Holder: "a", Fence: 5}, 9, now, now)
+	a.Acquired(Record{Holder: "a", Fence: 4, Settled: true}, 0, Record{Holder: "a", Fence: 5}, 9, now, now)
 	if fence, ok := a.Fence("e", now); !ok || fence != 5 {
 		t.Errorf("fence %d, %v", fence, ok)
 	}
 }
 
-// TestRestartWhileUnsettled: found by TestOneHolderOrdersAtATime. A holder that
-// restarts before its predecessor's time is over has to wait again.
+// TestRestartWhileUnsettled: a holder that restarts before its predecessor's time has ended has to wait again. This
+// case was found by TestOneHolderOrdersAtATime.
 func TestRestartWhileUnsettled(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := New(testParams, "a")
-	a.Won(Record{Holder: "a", Fence: 4}, 0, Record{Holder: "a", Fence: 5}, 9, now, now)
+	a.Acquired(Record{Holder: "a", Fence: 4}, 0, Record{Holder: "a", Fence: 5}, 9, now, now)
 	if _, ok := a.Fence("e", now); ok {
-		t.Error("orders though the holder before may")
+		t.Error("order allowed while the predecessor may still send orders")
 	}
 }
 
-// sentOrder is an order as an engine's owner would judge it.
+// sentOrder is an order as the engine sees it.
 type sentOrder struct {
-	holder string
-	fence  int64
-	at     time.Time
+	holder    string
+	fence     int64
+	arrivedAt time.Time
 }
 
-// TestOneHolderOrdersAtATime walks holders that take over, release, renew with answers
-// that are late or lost, pause between check and send for less than Transit, tell what
-// they know of the lease, and restart, and checks every pair of orders to an engine: a
-// lower token never comes after a higher one, and two machines' orders are Settle apart.
+// TestOneHolderOrdersAtATime runs random sequences of holders that take over, release, renew with late or lost
+// responses, pause for less than Transit between check and send, report what they know of the lease, and restart. It
+// checks every pair of consecutive orders to an engine: a lower token never follows a higher one, and orders from
+// two machines are at least Settle apart.
 func TestOneHolderOrdersAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &leaseModel{now: time.Unix(1000, 0), leases: map[string]*Lease{}, last: map[string]sentOrder{}, arrives: map[string]time.Time{}, tokens: map[int64]string{}}
+		m := &leaseModel{now: time.Unix(1000, 0), leases: map[string]*Lease{}, lastOrder: map[string]sentOrder{}, lastArrival: map[string]time.Time{}, tokenHolder: map[int64]string{}}
 		for _, name := range modelInstances {
 			m.leases[name] = New(testParams, name)
 		}
@@ -209,18 +209,18 @@
 var modelInstances = []string{"a", "b", "c"}
 
 type leaseModel struct {
-	now      time.Time
-	record   Record // in the store
-	revision store.Revision
-	leases   map[string]*Lease
-	last     map[string]sentOrder // by engine
-	arrives  map[string]time.Time // of the last order, by holder
-	sent     []*sentRenewal       // not carried out, or not answered
-	told     []toldStanding       // on their way
-	// tokens is who has ordered with each fencing token.
-	tokens map[int64]string
-	// copied is what a copy of the store has.
-	copied storedRecord
+	now          time.Time
+	record       Record // in the store
+	revision     store.Revision
+	leases       map[string]*Lease
+	lastOrder    map[string]sentOrder // by engine
+	lastArrival  map[string]time.Time // arrival of the last order, by holder
+	renewals     []*sentRenewal       // not applied yet, or response not delivered
+	observations []sentObservation    // in transit
+	// tokenHolder is the instance that has used each fencing token.
+	tokenHolder map[int64]string
+	// backup is the record in a backup of the store.
+	backup storedRecord
 }
 
 // storedRecord is the record with its revision.
@@ -229,19 +229,19 @@
 	revision store.Revision
 }
 
-// sentRenewal is a renewal on its way to the store, or its answer on the way back.
+// sentRenewal is a renewal in transit to the store, or its response in transit back.
 type sentRenewal struct {
-	by       *Lease
-	record   Record
-	revision store.Revision // that it expects, then that it has made
-	at       time.Time
-	done, ok bool
+	lease       *Lease
+	record      Record
+	revision    store.Revision // expected revision, then the one it created
+	sentAt      time.Time
+	applied, ok bool
 }
 
-// toldStanding is what one instance has told another.
-type toldStanding struct {
-	to       string
-	standing Standing
+// sentObservation is a report from one instance to another.
+type sentObservation struct {
+	to         string
+	renewalAge Standing
 }
 
 func (m *leaseModel) step(t *rapid.T) {
@@ -255,32 +255,32 @@
 	case "renew":
 		record, revision := l.Renewal(m.now)
 		if l.Held() {
-			m.sent = append(m.sent, &sentRenewal{by: l, record: record, revision: revision, at: m.now})
+			m.renewals = append(m.renewals, &sentRenewal{lease: l, record: record, revision: revision, sentAt: m.now})
 		}
 	case "store":
-		m.carryOut(t)
+		m.applyRenewal(t)
 	case "answer":
-		m.answer(t)
+		m.deliverAnswer(t)
 	case "look":
-		m.look(l)
+		m.observe(l)
 	case "copy":
-		m.copied = storedRecord{m.record, m.revision}
+		m.backup = storedRecord{m.record, m.revision}
 	case "come back":
-		m.record, m.revision = m.copied.record, store.RevisionOf(m.revision.Era()+1, m.copied.revision.Number())
+		m.record, m.revision = m.backup.record, store.RevisionOf(m.revision.Era()+1, m.backup.revision.Number())
 	case "tell":
-		m.told = append(m.told, toldStanding{to: rapid.SampledFrom(modelInstances).Draw(t, "to"), standing: l.Standing(m.now)})
+		m.observations = append(m.observations, sentObservation{to: rapid.SampledFrom(modelInstances).Draw(t, "to"), renewalAge: l.RenewalAge(m.now)})
 	case "hear":
-		if len(m.told) > 0 {
-			i := rapid.IntRange(0, len(m.told)-1).Draw(t, "told")
-			m.leases[m.told[i].to].Heard(m.told[i].standing, m.now)
-			m.told = slices.Delete(m.told, i, i+1)
+		if len(m.observations) > 0 {
+			i := rapid.IntRange(0, len(m.observations)-1).Draw(t, "told")
+			m.leases[m.observations[i].to].ObserveRemote(m.observations[i].renewalAge, m.now)
+			m.observations = slices.Delete(m.observations, i, i+1)
 		}
 	case "take":
-		m.take(t, l)
+		m.takeOver(t, l)
 	case "release":
 		record, revision, ok := l.Release(m.now)
-		if arrives := m.arrives[name]; arrives.After(m.now) {
-			m.now = arrives // a holder waits for its orders to be answered
+		if arrives := m.lastArrival[name]; arrives.After(m.now) {
+			m.now = arrives // a holder waits for the responses to its orders
 		}
 		if ok && revision == m.revision {
 			m.write(record)
@@ -290,10 +290,10 @@
 	}
 }
 
-// look has an instance hear of the store's era and of the record's revision.
-func (m *leaseModel) look(l *Lease) {
-	l.EraBegan(m.revision.Era())
-	l.Saw(m.revision, m.now)
+// observe lets an instance read the store's era and the record's revision.
+func (m *leaseModel) observe(l *Lease) {
+	l.ObserveEra(m.revision.Era())
+	l.Observe(m.revision, m.now)
 }
 
 func (m *leaseModel) write(record Record) {
@@ -303,17 +303,17 @@
 	}
 }
 
-// carryOut lets a renewal that was sent, perhaps long ago, arrive at the store.
-func (m *leaseModel) carryOut(t *rapid.T) {
-	if len(m.sent) == 0 {
+// applyRenewal lets a renewal that was sent at any earlier time arrive at the store.
+func (m *leaseModel) applyRenewal(t *rapid.T) {
+	if len(m.renewals) == 0 {
 		return
 	}
-	s := m.sent[rapid.IntRange(0, len(m.sent)-1).Draw(t, "arrives")]
-	if s.done {
+	s := m.renewals[rapid.IntRange(0, len(m.renewals)-1).Draw(t, "arrives")]
+	if s.applied {
 		return
 	}
-	s.done, s.ok = true, s.revision == m.revision
-	if s.revision.Number() == m.revision.Number() { // also if another has it in this era
+	s.applied, s.ok = true, s.revision == m.revision
+	if s.revision.Number() == m.revision.Number() { // also if another record has that number in this era
 		m.write(s.record)
 	}
 	if s.ok {
@@ -321,65 +321,64 @@
 	}
 }
 
-// answer lets an answer arrive, or be lost. Who hears that the record is not as expected
-// reads it.
-func (m *leaseModel) answer(t *rapid.T) {
-	i := slices.IndexFunc(m.sent, func(s *sentRenewal) bool { return s.done })
+// deliverAnswer delivers or drops the response to a renewal. An instance that learns of a conflict reads the record.
+func (m *leaseModel) deliverAnswer(t *rapid.T) {
+	i := slices.IndexFunc(m.renewals, func(s *sentRenewal) bool { return s.applied })
 	if i < 0 {
 		return
 	}
-	s := m.sent[i]
-	m.sent = slices.Delete(m.sent, i, i+1)
+	s := m.renewals[i]
+	m.renewals = slices.Delete(m.renewals, i, i+1)
 	switch {
 	case rapid.Bool().Draw(t, "lost"):
 	case s.ok:
-		s.by.Renewed(s.record, s.revision, s.at)
-	case s.by.Held():
-		m.look(s.by)
-		if !s.by.Adopt(m.record, m.revision) {
-			s.by.Lost()
+		s.lease.Renewed(s.record, s.revision, s.sentAt)
+	case s.lease.Held():
+		m.observe(s.lease)
+		if !s.lease.Adopt(m.record, m.revision) {
+			s.lease.Lost()
 		}
 	}
 }
 
-func (m *leaseModel) take(t *rapid.T, l *Lease) {
+func (m *leaseModel) takeOver(t *rapid.T, l *Lease) {
 	if l.Held() {
 		return
 	}
-	m.look(l)
+	m.observe(l)
 	previous, replaced := m.record, m.revision
 	sent := m.now
 	m.write(l.Candidate(previous, replaced.Era(), ""))
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "answer takes")) * time.Millisecond)
-	l.Won(previous, replaced, m.record, m.revision, sent, m.now)
+	l.Acquired(previous, replaced, m.record, m.revision, sent, m.now)
 }
 
-// order checks and sends, and lets the order arrive up to Transit later.
+// order checks the lease and sends an order, which arrives up to Transit later.
 func (m *leaseModel) order(t *rapid.T, name string, l *Lease) {
 	engine := rapid.SampledFrom([]string{"e1", "e2"}).Draw(t, "engine")
 	fence, ok := l.Fence(engine, m.now)
 	if !ok {
 		return
 	}
-	if other, used := m.tokens[fence]; used && other != name {
-		t.Fatalf("%s and %s order with one token, %d", other, name, fence)
+	if other, used := m.tokenHolder[fence]; used && other != name {
+		t.Fatalf("%s and %s send orders with the same token %d", other, name, fence)
 	}
-	m.tokens[fence] = name
-	l.Ordered(engine, m.now)
+	m.tokenHolder[fence] = name
+	l.RecordOrder(engine, m.now)
 	transit := time.Duration(rapid.IntRange(0, int(testParams.Transit.Milliseconds())-1).Draw(t, "transit")) * time.Millisecond
-	o := sentOrder{holder: name, fence: fence, at: m.now.Add(transit)}
-	if o.at.After(m.arrives[name]) {
-		m.arrives[name] = o.at
+	o := sentOrder{holder: name, fence: fence, arrivedAt: m.now.Add(transit)}
+	if o.arrivedAt.After(m.lastArrival[name]) {
+		m.lastArrival[name] = o.arrivedAt
 	}
-	before, any := m.last[engine]
-	m.last[engine] = o
+	before, any := m.lastOrder[engine]
+	m.lastOrder[engine] = o
 	if !any {
 		return
 	}
 	if o.fence < before.fence {
-		t.Fatalf("%s orders %s with token %d after %d", name, engine, o.fence, before.fence)
+		t.Fatalf("%s sends an order to %s with token %d after token %d", name, engine, o.fence, before.fence)
 	}
-	if o.holder != before.holder && o.at.Sub(before.at) < testParams.Settle {
-		t.Fatalf("%s orders %s only %v after %s", name, engine, o.at.Sub(before.at), before.holder)
+	if o.holder != before.holder && o.arrivedAt.Sub(before.arrivedAt) < testParams.Settle {
+		t.Fatalf("%s sends an order to %s only %v after %s", name, engine, o.arrivedAt.Sub(before.arrivedAt), before.holder)
 	}
 }
--- /dev/null
+++ b/command/lease/observation.go
@@ -0,0 +1,62 @@
+package lease
+
+import (
+	"time"
+
+	"github.com/martenport/martenport/store"
+)
+
+// Observation states that a revision of the record existed at a time. The renewal that created the revision, and
+// every renewal before it, had been sent by then. The zero Observation states nothing.
+type Observation struct {
+	Revision store.Revision
+	// At is on the clock of the instance that keeps the observation. That clock must include any suspension of the
+	// machine up to the moment: a time that is too early would let a successor send orders too early.
+	At time.Time
+}
+
+// supersedes reports whether s is more useful than other: of a newer revision, or of the same one at an earlier
+// time.
+func (s Observation) supersedes(other Observation) bool {
+	if s.Revision != other.Revision {
+		return s.Revision > other.Revision
+	}
+	return s.At.Before(other.At)
+}
+
+// Standing is an observation sent to another instance, which has a different clock. Age is a lower bound of the time
+// between sending the renewal and sending this message.
+type Standing struct {
+	Revision store.Revision
+	Age      time.Duration
+}
+
+// Observe records that the record was at revision at the given time.
+func (l *Lease) Observe(revision store.Revision, at time.Time) {
+	if s := (Observation{Revision: revision, At: at}); revision > 0 && s.supersedes(l.latest) {
+		l.latest = s
+	}
+}
+
+// ObserveRemote records what another instance reported in a response that arrived at now.
+func (l *Lease) ObserveRemote(s Standing, now time.Time) {
+	l.Observe(s.Revision, now.Add(-max(0, s.Age)))
+}
+
+// RenewalAge returns what to report to other instances at now. A holder knows when it last renewed the lease; other
+// instances report what they have observed.
+func (l *Lease) RenewalAge(now time.Time) Standing {
+	if l.held {
+		return Standing{Revision: l.revision, Age: max(0, now.Sub(l.renewed))}
+	}
+	return Standing{Revision: l.latest.Revision, Age: max(0, now.Sub(l.latest.At))}
+}
+
+// lastRenewal returns the latest time at which the holder that was replaced at replacedRevision can have sent
+// its last renewal.
+func (l *Lease) lastRenewal(previous Record, replacedRevision store.Revision, now time.Time) time.Time {
+	if previous.Renewals == 0 || l.latest.Revision != replacedRevision || l.latest.At.After(now) {
+		return now
+	}
+	return l.latest.At
+}
