--- a/command/holder/bench_test.go
+++ b/command/holder/bench_test.go
@@ -16,15 +16,15 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Size of the fleet that the benchmarks play.
+// Size of the simulated fleet.
 const (
 	benchEngines   = 124
 	benchInstances = 195
 	benchModels    = 667
 )
 
-// benchHolder holds the lease over engines with three models each and five times as many
-// on disks.
+// benchHolder returns a holder that holds the lease over engines with three loaded models each, which have 17 models
+// on their disks.
 func benchHolder(b *testing.B) *Holder {
 	b.Helper()
 	spec := &serving.EngineSpec{Slots: 12, MemoryMB: 310, AdapterSlots: 8, RemoteLoadsPerSecond: 48, Models: map[string]serving.Model{}}
@@ -55,7 +55,7 @@
 	log.SetOutput(io.Discard)
 	h := New(DefaultParams("holder", "10.0.0.1:1", time.Second), standin.NewPlatform(), nil, dir, NewCounts(metrics.NewSet()), log)
 	ctx, stop := context.WithCancel(context.Background())
-	stop() // workers carry nothing out
+	stop() // workers execute nothing
 	h.ctx = ctx
 	record, revision, err := h.Current(b.Context())
 	if err != nil {
@@ -67,7 +67,7 @@
 	return h
 }
 
-// benchReport is what one instance says: two requests run, one model is waited for.
+// benchReport returns the report of one instance: two requests run and one model is waited for.
 func benchReport(instance int) Report {
 	return Report{
 		Name: fmt.Sprintf("instance-%d", instance), Domain: "d",
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkExchange measures one report of an instance, of 195 with 124 engines.
+// BenchmarkExchange measures one report of an instance, with 195 instances and 124 engines.
 func BenchmarkExchange(b *testing.B) {
 	h := benchHolder(b)
 	reports := make([]Report, benchInstances)
@@ -88,18 +88,17 @@
 	}
 	for i := 0; b.Loop(); i++ {
 		r := &reports[i%benchInstances]
-		news, err := h.Exchange(*r, time.Now())
+		reply, err := h.Exchange(*r, time.Now())
 		if err != nil {
 			b.Fatal(err)
 		}
-		r.Fence, r.SeenViews, r.SeenServers = news.Fence, news.Seen, news.Servers.Change
+		r.Fence, r.SeenViews, r.SeenServers = reply.Fence, reply.Seen, reply.Servers.Change
 	}
 }
 
-// BenchmarkQuestion measures one question for a model that engines have on their disks
-// only, while 195 instances wait for as many others: 2 us, and 58 us where the list of
-// servers was taken over for each.
-func BenchmarkQuestion(b *testing.B) {
+// BenchmarkWant measures one call for a model that engines have only on their disks, while 195 instances wait for as
+// many other models: 2 us. It was 58 us when each call copied the list of servers.
+func BenchmarkWant(b *testing.B) {
 	h := benchHolder(b)
 	for i := range benchInstances {
 		if _, err := h.Exchange(benchReport(i), time.Now()); err != nil {
--- a/command/holder/counts.go
+++ b/command/holder/counts.go
@@ -10,38 +10,37 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Counts are the counters of a holder's work.
+// Counts are the metrics of a holder.
 type Counts struct {
-	set       *metrics.Set
-	takeOvers *metrics.Counter
-	reports   *metrics.Counter
-	seconds   *metrics.Histogram
-	// promiseError is by which part of its time a load from the weight store was promised
-	// wrongly.
-	promiseError *metrics.Histogram
+	set              *metrics.Set
+	takeOvers        *metrics.Counter
+	reports          *metrics.Counter
+	operationSeconds *metrics.Histogram
+	// loadTimeError is the relative error of the predicted duration of loads from the weight store.
+	loadTimeError *metrics.Histogram
 }
 
-// NewCounts returns Counts in set.
+// NewCounts registers the metrics in set and returns them.
 func NewCounts(set *metrics.Set) *Counts {
 	return &Counts{
 		set: set, takeOvers: set.NewCounter("martenport_lease_takeovers_total"),
-		reports: set.NewCounter("martenport_engine_reports_total"), seconds: set.NewHistogram("martenport_operation_seconds"),
-		promiseError: set.NewHistogram("martenport_weight_store_promise_error_ratio"),
+		reports: set.NewCounter("martenport_engine_reports_total"), operationSeconds: set.NewHistogram("martenport_operation_seconds"),
+		loadTimeError: set.NewHistogram("martenport_weight_store_promise_error_ratio"),
 	}
 }
 
-func (c *Counts) order(answer serving.OrderAnswer) {
+func (c *Counts) countOrder(answer serving.OrderAnswer) {
 	c.set.GetOrCreateCounter(`martenport_orders_total{answer="` + answer.String() + `"}`).Inc()
 }
 
-// weightStore counts a load from the weight store that was promised to take so long.
-func (c *Counts) weightStore(promised, took time.Duration) {
-	if took > 0 {
-		c.promiseError.Update(math.Abs((promised - took).Seconds()) / took.Seconds())
+// observeWeightStoreLoad records the error of the predicted duration of a load from the weight store.
+func (c *Counts) observeWeightStoreLoad(predicted, actual time.Duration) {
+	if actual > 0 {
+		c.loadTimeError.Update(math.Abs((predicted - actual).Seconds()) / actual.Seconds())
 	}
 }
 
-func (c *Counts) operation(op replicas.Operation, err error, took time.Duration) {
+func (c *Counts) observeOperation(op replicas.Operation, err error, duration time.Duration) {
 	kind, outcome := "model", "done"
 	if op.Load.Adapter != "" {
 		kind = "adapter"
@@ -49,6 +48,6 @@
 	if err != nil {
 		outcome = "failed"
 	}
-	c.seconds.Update(took.Seconds())
+	c.operationSeconds.Update(duration.Seconds())
 	c.set.GetOrCreateCounter(`martenport_operations_total{kind="` + kind + `",outcome="` + outcome + `"}`).Inc()
 }
--- a/command/holder/counts_test.go
+++ b/command/holder/counts_test.go
@@ -8,19 +8,19 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// TestWeightStorePromisesAreCounted: by which part of its time a load was promised wrongly
-// is on the metrics address, whether it took longer or shorter.
-func TestWeightStorePromisesAreCounted(t *testing.T) {
+// TestWeightStoreLoadTimeErrorIsExported: the relative error of the predicted duration of loads from the weight
+// store is exported as a metric, for loads that took longer and for those that took less time.
+func TestWeightStoreLoadTimeErrorIsExported(t *testing.T) {
 	set := metrics.NewSet()
 	c := NewCounts(set)
-	c.weightStore(10*time.Second, 20*time.Second)
-	c.weightStore(30*time.Second, 20*time.Second)
-	c.weightStore(30*time.Second, 0)
+	c.observeWeightStoreLoad(10*time.Second, 20*time.Second)
+	c.observeWeightStoreLoad(30*time.Second, 20*time.Second)
+	c.observeWeightStoreLoad(30*time.Second, 0)
 	var text strings.Builder
 	set.WritePrometheus(&text)
 	for _, want := range []string{"martenport_weight_store_promise_error_ratio_sum 1\n", "martenport_weight_store_promise_error_ratio_count 2\n"} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("%q is not in\n%s", want, text.String())
+			t.Errorf("metrics lack %q:\n%s", want, text.String())
 		}
 	}
 }
--- a/command/holder/era.go
+++ b/command/holder/era.go
@@ -6,11 +6,11 @@
 	"github.com/martenport/martenport/command/lease"
 )
 
-// unknownEra is before the store has said anything.
+// unknownEra is the era before the first response of the store.
 const unknownEra = -1
 
-// EraBegan notes the era of the store's word. A lease of an era before is lost: the store does not
-// have the record any more that says so, and may give the lease to another.
+// EraBegan records the era of a response of the store. A lease of an earlier era is lost: the store has no longer
+// the record that names this holder and may give the lease to another instance.
 func (h *Holder) EraBegan(era int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -27,9 +27,9 @@
 	}
 }
 
-// previous needs mu. It returns the record to succeed, as read in an era: where there is none,
-// nobody has held the lease if no copy can have lost the record.
-func (h *Holder) previous(current lease.Record, era int64) lease.Record {
+// recordToReplace returns the record that a take-over replaces, given the record read in an era. If there is none
+// and no record can have been lost by a restore from a backup, nobody has held the lease yet. h.mu must be held.
+func (h *Holder) recordToReplace(current lease.Record, era int64) lease.Record {
 	first := h.params.Bootstrap && h.firstEra == era
 	if current.Fence == 0 && (first || era == 0) {
 		return lease.NeverHeld(era)
--- a/command/holder/holder.go
+++ b/command/holder/holder.go
@@ -1,9 +1,8 @@
-// Package holder is the work of the one instance that loads models: it takes
-// the lease, keeps the account of all engines, decides by package replicas what
-// is loaded where, and sends the orders.
+// Package holder implements the work of the one instance that orders model loads. The holder takes the lease, tracks
+// the state of all engines, decides by package replicas which models are loaded where, and sends the orders.
 //
-// Every instance has a Holder; all but one are idle. Lock order: an engine's
-// order lock (worker.mu) before Holder.mu. No call is made under Holder.mu.
+// Every instance has a Holder; all but one are idle. Lock order: an engine's order lock (worker.orderMu) before
+// Holder.mu. No call to another process is made while Holder.mu is held.
 package holder
 
 import (
@@ -27,13 +26,13 @@
 	"github.com/martenport/martenport/store"
 )
 
-// KeyLease is where the lease's record lies in the store.
+// KeyLease is the key of the lease record in the store.
 const KeyLease = "leases/orders"
 
-// ErrNotHolder: this instance does not hold the lease, or may not use it yet.
+// ErrNotHolder is returned when this instance does not hold the lease or may not use it yet.
 var ErrNotHolder = errors.New("holder: the lease is not held")
 
-// Holder is one instance's part in loading models.
+// Holder takes and keeps the lease, and orders model loads while it holds the lease.
 type Holder struct {
 	params  Params
 	store   store.Store
@@ -45,79 +44,77 @@
 	mu    sync.Mutex
 	lease *lease.Lease    // guarded by mu
 	fleet *replicas.Fleet // guarded by mu
-	// lender lends the limits of workspaces, and serverLender those of servers; guarded by mu.
+	// lender lends the limits of workspaces and serverLender those of servers; guarded by mu.
 	lender, serverLender *quota.Lender
-	// serverLimits is what servers say of their limits.
+	// serverLimits returns the limits that servers have announced.
 	serverLimits ServerLimits
-	// account is what instances have said of their requests; guarded by mu.
-	account account
+	// reports holds the latest reports of the instances; guarded by mu.
+	reports instanceReports
 	views   views // guarded by mu
-	// admit is the share of requests to admit as of admitted; guarded by mu. The map is
-	// made anew, not changed: replies that are on their way refer to it.
-	admit    map[string]float64
-	admitted time.Time
-	// refreshed is when the list of servers was last taken over; guarded by mu.
-	refreshed time.Time
-	workers   map[string]*worker // by engine; guarded by mu
-	// failingSince is when renewals began to fail, zero while they succeed;
-	// guarded by mu.
+	// admissionShares is the share of requests to admit by model, as computed at admissionsAt; guarded by mu. The map
+	// is replaced and never changed, because replies that are being sent refer to it.
+	admissionShares map[string]float64
+	admissionsAt    time.Time
+	// serversRefreshedAt is when the list of servers was last copied from the directory; guarded by mu.
+	serversRefreshedAt time.Time
+	workers            map[string]*worker // by engine; guarded by mu
+	// failingSince is when renewals began to fail. It is zero while they succeed; guarded by mu.
 	failingSince time.Time
-	// episode numbers the times that this instance did not reach the store, and
-	// inEpisode is whether it does not now; guarded by mu.
-	episode   uint64
-	inEpisode bool
-	// proving is whether a renewal is on its way that decides whether the lease
-	// is given up; guarded by mu.
-	proving bool
-	// remoteAtOnce is what a holder before has learned of the weight store; guarded by mu.
-	remoteAtOnce float64
-	// gaveUp is the released record under which this instance has promised to
-	// order nothing more; guarded by mu.
-	gaveUp lease.Record
+	// outageID numbers the outages in which this instance cannot reach the store, and inOutage reports whether there
+	// is one now; guarded by mu.
+	outageID uint64
+	inOutage bool
+	// finalRenewalRunning reports whether a renewal is in progress whose failure makes the holder give up the lease;
+	// guarded by mu.
+	finalRenewalRunning bool
+	// remoteConcurrency is the estimate of an earlier holder for RemoteAtOnce; guarded by mu.
+	remoteConcurrency float64
+	// surrendered is the released record under which this instance has promised to send no more orders; guarded by
+	// mu.
+	surrendered lease.Record
 	// ctx ends when this instance stops; guarded by mu.
 	ctx context.Context
-	// era is the newest era of the store that was heard of, and firstEra the first one; guarded by mu.
+	// era is the newest era of the store that is known here, and firstEra the first one; guarded by mu.
 	era, firstEra int64
 
-	renewing sync.Mutex // held while a renewal is on its way
+	renewMu sync.Mutex // held while a renewal is in progress
 
-	// limits is what operators decided.
-	limits limits.Source
+	// replicaLimits are the numbers of replicas that operators have set.
+	replicaLimits limits.Source
 
-	// outage returns when the first of this instance's watches was begun that
-	// failed since the store last answered; zero while it answers.
-	outage func() time.Time
+	// outageStart returns the start of the first of this instance's store watches that has failed since the store
+	// last answered. It returns the zero time while the store answers.
+	outageStart func() time.Time
 }
 
 // New returns a Holder that does not hold the lease.
 func New(p Params, s store.Store, engines serving.Engines, dir *directory.Directory, counts *Counts, log logrus.FieldLogger) *Holder {
 	return &Holder{
 		params: p, store: s, engines: engines, dir: dir, log: log, counts: counts,
-		lease: lease.New(p.Lease, p.Name), fleet: replicas.NewFleet(p.Fleet), lender: quota.NewLender(p.Quota, false, nil, clock.Now()), serverLender: quota.NewLender(p.ServerQuota, false, nil, clock.Now()), serverLimits: unlimited{}, account: newAccount(), workers: map[string]*worker{},
-		era: unknownEra, firstEra: unknownEra, ctx: context.Background(), limits: limits.None{}, outage: func() (none time.Time) { return },
+		lease: lease.New(p.Lease, p.Name), fleet: replicas.NewFleet(p.Fleet), lender: quota.NewLender(p.Quota, false, nil, clock.Now()), serverLender: quota.NewLender(p.ServerQuota, false, nil, clock.Now()), serverLimits: unlimited{}, reports: newInstanceReports(), workers: map[string]*worker{},
+		era: unknownEra, firstEra: unknownEra, ctx: context.Background(), replicaLimits: limits.None{}, outageStart: func() (none time.Time) { return },
 	}
 }
 
-// WatchStore has the holder know how this instance's watches fare. It must be
-// called before Run.
-func (h *Holder) WatchStore(outage func() time.Time) { h.outage = outage }
+// WatchStore sets the function that returns when this instance's store watches began to fail, or the zero time. It
+// must be called before Run.
+func (h *Holder) WatchStore(outage func() time.Time) { h.outageStart = outage }
 
-// LimitServers has the holder lend what servers say that they take. It must be called before
-// Run.
+// LimitServers sets the source of the limits that servers have announced. The holder lends those limits to
+// instances. It must be called before Run.
 func (h *Holder) LimitServers(source ServerLimits) { h.serverLimits = source }
 
-// Limit has the holder load models only as operators decided. It must be called
-// before Run.
-func (h *Holder) Limit(source limits.Source) { h.limits = source }
+// Limit sets the source of the numbers of replicas that operators allow. It must be called before Run.
+func (h *Holder) Limit(source limits.Source) { h.replicaLimits = source }
 
-// HeardRemoteAtOnce notes what the holder has learned of the weight store.
+// HeardRemoteAtOnce records the holder's estimate of News.RemoteAtOnce for the case that this instance succeeds it.
 func (h *Holder) HeardRemoteAtOnce(atOnce float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.remoteAtOnce = atOnce
+	h.remoteConcurrency = atOnce
 }
 
-// Run does the standing work while the lease is held, until ctx ends.
+// Run does the periodic work while the lease is held, until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
 	h.mu.Lock()
 	h.ctx = ctx
@@ -129,22 +126,22 @@
 	}
 }
 
-// Holds reports whether the lease is this instance's, as far as it knows.
+// Holds reports whether this instance holds the lease, as far as it knows.
 func (h *Holder) Holds() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lease.Held()
 }
 
-// Settled reports whether the lease is this instance's and what holders before have let
-// begin is over or known, which the lease's renewals do not bound.
+// Settled reports whether this instance holds the lease and the operations that earlier holders started, which
+// renewals of the lease do not bound, have ended or are known.
 func (h *Holder) Settled(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lease.PriorOperationsEnded(now)
 }
 
-// Fence returns the fencing token held, 0 when there is none.
+// Fence returns the fencing token of the held lease, 0 if the lease is not held.
 func (h *Holder) Fence() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,67 +152,66 @@
 	return record.Fence
 }
 
-// tick takes over what engines announce, has doubtful ones read anew, and
-// starts what the demand asks for.
+// tick takes over the announced state of engines, has engines of uncertain state read again, and starts the
+// operations that the demand requires.
 func (h *Holder) tick(now time.Time) {
 	h.mu.Lock()
 	h.refreshServers()
 	outage := h.suspendInOutage(now)
-	h.fleet.Running(h.account.running(now), now)
+	h.fleet.Running(h.reports.runningByUnit(now), now)
 	operations := append(h.fleet.Trim(now), h.fleet.Dispatch(now)...)
-	unsure := h.fleet.Unsure(now)
-	unsettled := !h.lease.Settled() && h.lease.RenewalDue(now)
+	uncertain := h.fleet.Unsure(now)
+	settleDue := !h.lease.Settled() && h.lease.RenewalDue(now)
 	h.mu.Unlock()
-	if unsettled || outage > 0 { // written or confirmed now, or tried again at the next tick
-		h.renewBeside()
+	if settleDue || outage > 0 { // a failed renewal is retried at the next tick
+		h.renewInBackground()
 	}
-	for _, id := range unsure {
+	for _, id := range uncertain {
 		h.readIfSettled(id, now)
 	}
 	for _, op := range operations {
-		h.begin(op, "tick")
+		h.startOperation(op, "tick")
 	}
 }
 
-// readAhead is how long before the first order to an engine it is read, at the least.
-const readAhead = 300 * time.Millisecond
+// minReadLead is the minimum time between reading an engine and the first order to it.
+const minReadLead = 300 * time.Millisecond
 
-// readSpread is the part of the time between orders of two holders over which engines are
-// read: in that time the holder before orders nothing more. To read 106 engines in the last
-// tenth of a second, and to order them right after that, took more processor time than a
-// machine with 0.8 of a core had: the first orders went out over a second.
+// readSpread is the fraction of the time between the orders of two holders over which the reads of engines are
+// spread. The earlier holder sends no orders in that time. Reading 106 engines in its last tenth of a second and
+// ordering them right afterwards took more processor time than a machine with 0.8 cores had, so the first orders
+// were spread over a second.
 const readSpread = 0.5
 
-// readBefore returns how long before the first order to an engine it is read: each engine
-// has its place in the spread.
-func (h *Holder) readBefore(id string) time.Duration {
+// readLead returns how long before the first order to an engine the engine is read. The engines are spread by a hash
+// of their ids.
+func (h *Holder) readLead(id string) time.Duration {
 	settle := h.params.Lease.Settle
-	place := float64(xxhash.Sum64String(id)) / math.MaxUint64
-	return max(readAhead, min(settle, readAhead+time.Duration(place*readSpread*float64(settle))))
+	position := float64(xxhash.Sum64String(id)) / math.MaxUint64
+	return max(minReadLead, min(settle, minReadLead+time.Duration(position*readSpread*float64(settle))))
 }
 
-// readIfSettled has an engine read anew, unless the holder before may still
-// order it.
+// readIfSettled has an engine read again, unless an earlier holder may still order it.
 func (h *Holder) readIfSettled(id string, now time.Time) {
 	h.mu.Lock()
-	settled := now.Add(h.readBefore(id)).After(h.lease.OrderFrom(id))
+	settled := now.Add(h.readLead(id)).After(h.lease.OrderFrom(id))
 	h.mu.Unlock()
 	if settled {
-		h.worker(id).readAnew()
+		h.worker(id).requestRead()
 	}
 }
 
-// refreshInterval bounds how often questions have the list of servers taken over: many
-// come within one, and most of the time of each went into that (BenchmarkQuestion).
+// refreshInterval is the minimum time between two copies of the list of servers on behalf of requests for units.
+// Many requests arrive within it, and the copy took most of the time of each (BenchmarkWant).
 const refreshInterval = 50 * time.Millisecond
 
-// refreshServers needs mu.
+// refreshServers copies the list of servers from the directory. h.mu must be held.
 func (h *Holder) refreshServers() {
 	config := h.dir.Config()
 	if config == nil {
 		return
 	}
-	h.refreshed = clock.Now()
+	h.serversRefreshedAt = clock.Now()
 	h.fleet.Complete(h.dir.Complete(clock.Now()))
 	h.fleet.SetServers(h.dir.All(), func(service string) *serving.EngineSpec { return config.Services[service].Engine })
 	for _, e := range h.fleet.Engines() {
@@ -229,41 +225,41 @@
 	}
 }
 
-// Request is a request for a unit to be loaded.
+// Request asks for a unit to be loaded.
 type Request struct {
 	Service string
 	Unit    serving.Unit
-	// Waiting is what waits for its model at the instance that asks.
+	// Waiting describes the requests for the model that wait at the asking instance.
 	Waiting replicas.Waiting
-	// Missing names an engine that said that it does not have the unit, and
-	// Unreachable one that could not be connected to.
+	// Missing names an engine that reported that it does not have the unit. Unreachable names an engine that could
+	// not be connected to.
 	Missing, Unreachable string
-	// HeldBack are engines that have the unit, and to which the instance that asks may send
-	// nothing for now: they limit what they take, or rest.
+	// HeldBack are engines that have the unit but to which the asking instance may not send requests for now, because
+	// they limit their requests or have asked for a pause.
 	HeldBack []string
 }
 
-// askAgain is the shortest time after which an instance should ask again for a
-// unit that no engine has been chosen for.
-const askAgain = 120 * time.Millisecond
+// minRetryDelay is the minimum time after which an instance should ask again for a unit for which no engine has been
+// chosen.
+const minRetryDelay = 120 * time.Millisecond
 
-// noRoomRetry is when an engine may have room again: about what a load takes.
-const noRoomRetry = time.Second
+// noCapacityRetry is when to ask again after no engine had capacity: about the duration of a load.
+const noCapacityRetry = time.Second
 
-// Want returns where a unit is or will be. ok is false if no engine can take it; the
-// place then says when to ask again. After an outage of the store as long again is
-// expected, since it may last for milliseconds or minutes.
+// Want returns where a unit is loaded or will be. ok is false if no engine can take it; found.Ready then states when
+// to ask again. During an outage of the store that is at least as long as the outage has lasted, since outages last
+// from milliseconds to minutes.
 func (h *Holder) Want(r Request, now time.Time) (found replicas.Found, ok bool, err error) {
 	h.mu.Lock()
 	if !h.lease.Held() {
 		h.mu.Unlock()
 		return found, false, ErrNotHolder
 	}
-	if now.Sub(h.refreshed) >= refreshInterval {
+	if now.Sub(h.serversRefreshedAt) >= refreshInterval {
 		h.refreshServers()
 	}
 	if r.Missing != "" {
-		h.lacks(r.Missing, r.Unit, now)
+		h.noteMissingUnit(r.Missing, r.Unit, now)
 	}
 	if r.Unreachable != "" {
 		h.fleet.Unreachable(r.Unreachable, now)
@@ -283,24 +279,24 @@
 	}
 	h.mu.Unlock()
 	for _, op := range operations {
-		h.begin(op, "request")
+		h.startOperation(op, "request")
 	}
 	if !ok {
-		found.Ready = now.Add(max(noRoomRetry, outage))
+		found.Ready = now.Add(max(noCapacityRetry, outage))
 	}
-	if earliest := now.Add(askAgain); ok && found.Engine == "" && found.Ready.Before(earliest) {
+	if earliest := now.Add(minRetryDelay); ok && found.Engine == "" && found.Ready.Before(earliest) {
 		found.Ready = earliest
 	}
 	return found, ok, nil
 }
 
-// Use is a request that begins on an engine.
+// Use is the start of a request on an engine.
 type Use struct {
 	Engine string
 	Unit   serving.Unit
 }
 
-// Used notes a request that begins, before the instance that sends it reports.
+// Used records the start of a request before the sending instance reports it.
 func (h *Holder) Used(u Use, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -309,7 +305,7 @@
 	}
 }
 
-// dispatch starts what is wanted on engines that have become free.
+// dispatch starts the required operations on engines that have become free.
 func (h *Holder) dispatch(now time.Time) {
 	h.mu.Lock()
 	var operations []replicas.Operation
@@ -318,30 +314,31 @@
 	}
 	h.mu.Unlock()
 	for _, op := range operations {
-		h.begin(op, "request")
+		h.startOperation(op, "request")
 	}
 }
 
-// lacks needs mu. An engine said that it does not have a unit that it should.
-func (h *Holder) lacks(id string, unit serving.Unit, now time.Time) {
+// noteMissingUnit handles the report of an engine that it does not have a unit which it should have. h.mu must be
+// held.
+func (h *Holder) noteMissingUnit(id string, unit serving.Unit, now time.Time) {
 	e := h.fleet.Engine(id)
 	if e == nil || !e.Claims(unit, now) || h.fleet.Postpone(id, unit, now) {
 		return
 	}
 	h.fleet.Doubt(id, unit)
-	h.log.WithFields(logrus.Fields{"engine": id, "unit": unit.String(), "sequence": e.Sequence}).Info("engine lacks a unit, reading it anew")
+	h.log.WithFields(logrus.Fields{"engine": id, "unit": unit.String(), "sequence": e.Sequence}).Info("engine reports a unit as missing; reading the engine again")
 }
 
-// begin hands an operation to its engine's worker.
-func (h *Holder) begin(op replicas.Operation, cause string) {
+// startOperation queues an operation at its engine's worker.
+func (h *Holder) startOperation(op replicas.Operation, cause string) {
 	h.log.WithFields(logrus.Fields{
 		"engine": op.Engine, "load": op.Load.String(), "unload": op.Unload, "remote": op.Remote, "cause": cause,
 		"ready_ms": clock.Until(op.Ready).Milliseconds(),
 	}).Info("operation planned")
-	h.worker(op.Engine).carryOut(op)
+	h.worker(op.Engine).enqueue(op)
 }
 
-// worker returns the engine's worker, started if need be.
+// worker returns the engine's worker and creates it if necessary.
 func (h *Holder) worker(id string) *worker {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/command/holder/tenure.go
+++ b/command/holder/lease.go
@@ -17,8 +17,8 @@
 	"github.com/martenport/martenport/store"
 )
 
-// Current reads the lease's record from the store; the zero Record if there is
-// none. A successor counts from when it first knew of the record's revision.
+// Current reads the lease record from the store. It returns the zero Record if there is none. It also records that
+// the revision was observed, since a successor counts its waiting time from the first observation.
 func (h *Holder) Current(ctx context.Context) (lease.Record, store.Revision, error) {
 	record, revision, err := store.Read[lease.Record](ctx, h.store, KeyLease)
 	if err == nil {
@@ -30,49 +30,49 @@
 	return record, revision, err
 }
 
-// Heard notes what another instance has told of the lease.
+// Heard records what another instance reported about the lease.
 func (h *Holder) Heard(s lease.Standing) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lease.ObserveRemote(s, clock.Exact())
 }
 
-// Standing returns what this instance can tell others of the lease.
+// Standing returns what this instance reports about the lease to others.
 func (h *Holder) Standing() lease.Standing {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lease.RenewalAge(clock.Now())
 }
 
-// TakeOver writes this instance into the record in place of current, which was
-// read at revision. It fails with store.ErrConflict when another was faster.
+// TakeOver replaces current, the record read at revision, by one that names this instance. It fails with
+// store.ErrConflict if the record has changed since.
 func (h *Holder) TakeOver(ctx context.Context, current lease.Record, revision store.Revision, cause string) error {
 	h.mu.Lock()
 	era := max(0, h.era, revision.Era())
-	current = h.previous(current, era)
+	current = h.recordToReplace(current, era)
 	candidate := h.lease.Candidate(current, era, h.params.Address)
 	h.mu.Unlock()
 	sent := clock.Now()
 	written, err := store.WriteJSON(ctx, h.store, KeyLease, candidate, revision)
 	if err == nil && written.Era() != era {
-		err = store.ErrConflict // the record is one of an era before to all others
+		err = store.ErrConflict // all other instances treat the record as one of an earlier era
 	}
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
 	h.lease.Acquired(current, revision, candidate, written, sent, clock.Now())
-	from := h.lease.OrderFrom("")
+	orderFrom := h.lease.OrderFrom("")
 	h.fleet = replicas.NewFleet(h.params.Fleet)
-	h.fleet.SetLimits(h.limits)
-	h.fleet.LearnRemoteAtOnce(h.remoteAtOnce)
-	h.account, h.views = newAccount(), views{}
-	first, left := current.Fence == 0 && !current.CameBack(era), current.Left
+	h.fleet.SetLimits(h.replicaLimits)
+	h.fleet.LearnRemoteAtOnce(h.remoteConcurrency)
+	h.reports, h.views = newInstanceReports(), views{}
+	firstHolder, remaining := current.Fence == 0 && !current.CameBack(era), current.Left
 	if current.CameBack(era) {
-		left = nil
+		remaining = nil
 	}
-	h.lender = quota.NewLender(h.params.Quota, first, left, clock.Now())
-	h.serverLender = quota.NewLender(h.params.ServerQuota, first, nil, clock.Now())
+	h.lender = quota.NewLender(h.params.Quota, firstHolder, remaining, clock.Now())
+	h.serverLender = quota.NewLender(h.params.ServerQuota, firstHolder, nil, clock.Now())
 	h.failingSince = time.Time{}
 	for _, w := range h.workers {
 		w.stop()
@@ -82,13 +82,13 @@
 	h.mu.Unlock()
 	h.counts.takeOvers.Inc()
 	h.log.WithFields(logrus.Fields{
-		"fence": candidate.Fence, "before": current.Holder, "cause": cause, "orders_in_ms": clock.Until(from).Milliseconds(),
+		"fence": candidate.Fence, "before": current.Holder, "cause": cause, "orders_in_ms": clock.Until(orderFrom).Milliseconds(),
 	}).Info("lease taken")
 	return nil
 }
 
-// Release gives the lease up, so that a successor need not wait for its
-// validity. No order is sent after it has begun.
+// Release gives up the lease, so that a successor need not wait for its validity to end. No order is sent after
+// Release has started.
 func (h *Holder) Release(ctx context.Context) {
 	record, revision, ok := h.stopOrders()
 	if !ok {
@@ -101,31 +101,31 @@
 		}
 	}
 	h.log.WithFields(logrus.Fields{"fence": record.Fence, "error": err}).Info("lease released")
-	if err != nil { // instances that ask meanwhile hear of it from this one
+	if err != nil { // instances that ask this one meanwhile learn of the release from it
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.gaveUp = record
+		h.surrendered = record
 	}
 }
 
-// stopOrders gives up the lease and waits for the orders that were checked
-// before to be answered. ok is false if there is nothing to hand over.
+// stopOrders gives up the lease and waits for the responses to orders that passed the check before. ok is false if
+// there is nothing to hand over.
 func (h *Holder) stopOrders() (record lease.Record, revision store.Revision, ok bool) {
 	h.mu.Lock()
 	if !h.lease.Held() {
 		h.mu.Unlock()
 		return record, revision, false
 	}
-	lent := h.lease.MayLend(clock.Exact())
+	mayLend := h.lease.MayLend(clock.Exact())
 	record, revision, ok = h.lease.Release(clock.Now())
-	if lent {
+	if mayLend {
 		record.Left = h.lender.Left(clock.Now())
 	}
 	workers := slices.Collect(maps.Values(h.workers))
 	h.mu.Unlock()
 	var last time.Time
 	for _, w := range workers {
-		if t := w.lastAnswered(); t.After(last) {
+		if t := w.waitForOrders(); t.After(last) {
 			last = t
 		}
 	}
@@ -133,51 +133,50 @@
 	return record, revision, ok
 }
 
-// failing returns the number of the episode in which this instance does not
-// reach the store, 0 while it does.
-func (h *Holder) failing() uint64 {
-	first := h.outage()
+// currentOutage returns the number of the outage in which this instance cannot reach the store, 0 while it can.
+func (h *Holder) currentOutage() uint64 {
+	since := h.outageStart()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if first.IsZero() || !h.failingSince.IsZero() && h.failingSince.Before(first) {
-		first = h.failingSince
+	if since.IsZero() || !h.failingSince.IsZero() && h.failingSince.Before(since) {
+		since = h.failingSince
 	}
-	if first.IsZero() {
-		h.inEpisode = false
+	if since.IsZero() {
+		h.inOutage = false
 		return 0
 	}
-	if !h.inEpisode {
-		h.inEpisode = true
-		h.episode++
+	if !h.inOutage {
+		h.inOutage = true
+		h.outageID++
 	}
-	return h.episode
+	return h.outageID
 }
 
-// proveOrGiveUp renews the lease once more and gives it up if that fails: the
-// store has answered another instance after it had stopped answering this one.
-// The other can then take over without waiting for the validity to end. While
-// the store answers nobody the lease stays, since nobody could take it over.
-func (h *Holder) proveOrGiveUp() {
+// startFinalRenewal renews the lease once more in the background and gives it up if that fails. It is called when
+// the store has answered another instance after it stopped answering this one. The other instance can then take over
+// without waiting for the validity to end. While the store answers nobody, the lease is kept, since nobody could
+// take it over.
+func (h *Holder) startFinalRenewal() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.proving || !h.lease.Held() {
+	if h.finalRenewalRunning || !h.lease.Held() {
 		return
 	}
-	h.proving = true
-	go h.prove()
+	h.finalRenewalRunning = true
+	go h.finalRenewal()
 }
 
-func (h *Holder) prove() {
+func (h *Holder) finalRenewal() {
 	defer func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.proving = false
+		h.finalRenewalRunning = false
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), h.params.Lease.Transit)
 	defer cancel()
-	h.renewing.Lock()
-	err := h.confirm(ctx)
-	h.renewing.Unlock()
+	h.renewMu.Lock()
+	err := h.forceRenewal(ctx)
+	h.renewMu.Unlock()
 	if err == nil || errors.Is(err, ErrNotHolder) {
 		return
 	}
@@ -188,24 +187,24 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gaveUp = record
+	h.surrendered = record
 }
 
-// GaveUp returns the released record under which this instance has promised to
-// order nothing more, the zero Record if there is none.
+// GaveUp returns the released record under which this instance has promised to send no more orders. It returns the
+// zero Record if there is none.
 func (h *Holder) GaveUp() lease.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.gaveUp
+	return h.surrendered
 }
 
-// SuccessionTime is how long after the last renewal of a lost holder its successor's orders
-// begin.
+// SuccessionTime returns the time from the last renewal of a lost holder to the first order of its successor.
 func (h *Holder) SuccessionTime() time.Duration {
 	return h.params.Lease.Validity + h.params.Lease.Settle
 }
 
-// Deposed notes that another instance has a higher fencing token.
+// Deposed records that another instance has the given fencing token. The lease is lost if that token is higher than
+// this instance's.
 func (h *Holder) Deposed(fence int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -216,29 +215,28 @@
 	}
 }
 
-// fence returns the fencing token for an order to an engine to be sent now. If a
-// renewal is due it goes on beside the order while the lease is good without it: a
-// store that does not answer must not keep orders back that are still allowed. That,
-// and not blaming engines for orders that could not be sent, gained .017 +- .007 of
-// worth (24 pairs of days on the users' platform).
-func (h *Holder) fence(ctx context.Context, engine string) (int64, error) {
-	if token, ok := h.token(engine); ok {
+// orderFence returns the fencing token for an order that is sent to an engine now. If a renewal is due while the
+// lease is still valid, the renewal runs in the background: a store that does not answer must not delay orders that
+// are still allowed. Together with not counting orders that could not be sent as failures of the engine, this gained
+// .017 +- .007 of worth (24 pairs of days on the users' platform).
+func (h *Holder) orderFence(ctx context.Context, engine string) (int64, error) {
+	if token, ok := h.tryFence(engine); ok {
 		if h.renewalDue() {
-			h.renewBeside()
+			h.renewInBackground()
 		}
 		return token, nil
 	}
-	if err := h.renewWithin(ctx); err != nil {
+	if err := h.renewWithTimeout(ctx); err != nil {
 		return 0, err
 	}
-	if token, ok := h.token(engine); ok {
+	if token, ok := h.tryFence(engine); ok {
 		return token, nil
 	}
 	return 0, ErrNotHolder
 }
 
-// token returns the fencing token if an order may be sent to the engine now.
-func (h *Holder) token(engine string) (int64, bool) {
+// tryFence returns the fencing token if an order may be sent to the engine now, and records the order.
+func (h *Holder) tryFence(engine string) (int64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := clock.Exact()
@@ -255,33 +253,31 @@
 	return h.lease.RenewalDue(clock.Now())
 }
 
-// renewBeside renews the lease in the background unless that is under way.
-func (h *Holder) renewBeside() {
-	if !h.renewing.TryLock() {
+// renewInBackground starts a renewal of the lease unless one is in progress.
+func (h *Holder) renewInBackground() {
+	if !h.renewMu.TryLock() {
 		return
 	}
 	h.mu.Lock()
 	ctx := h.ctx
 	h.mu.Unlock()
 	go func() {
-		defer h.renewing.Unlock()
+		defer h.renewMu.Unlock()
 		ctx, cancel := context.WithTimeout(ctx, h.params.Lease.Transit)
 		defer cancel()
-		_ = h.renewLocked(ctx) // noted and logged there
+		_ = h.renewLocked(ctx) // recorded and logged by the callee
 	}()
 }
 
-// renewWithin renews the lease if that is due, and waits for it no longer than an
-// order may be on its way.
-func (h *Holder) renewWithin(ctx context.Context) error {
+// renewWithTimeout renews the lease if that is due, and waits for at most the transit time of an order.
+func (h *Holder) renewWithTimeout(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, h.params.Lease.Transit)
 	defer cancel()
 	return h.renew(ctx)
 }
 
-// suspendInOutage needs mu. It returns for how long no order could be sent because the
-// store does not confirm the lease, zero while orders can be sent, and has the fleet
-// plan nothing meanwhile.
+// suspendInOutage suspends the planning of the fleet while no order can be sent because the store does not confirm
+// the lease. It returns how long that has lasted, zero while orders can be sent. h.mu must be held.
 func (h *Holder) suspendInOutage(now time.Time) (outage time.Duration) {
 	if !h.failingSince.IsZero() && !h.lease.Valid(now) {
 		outage = now.Sub(h.failingSince)
@@ -290,15 +286,15 @@
 	return outage
 }
 
-// renew has the store confirm the record if that is due. A failure matters only
-// once the last confirmation is too old for an order.
+// renew renews the lease if that is due. A failure matters only once the last confirmed renewal is too old for an
+// order.
 func (h *Holder) renew(ctx context.Context) error {
-	h.renewing.Lock()
-	defer h.renewing.Unlock()
+	h.renewMu.Lock()
+	defer h.renewMu.Unlock()
 	return h.renewLocked(ctx)
 }
 
-// renewLocked needs renewing.
+// renewLocked is renew for callers that hold h.renewMu.
 func (h *Holder) renewLocked(ctx context.Context) error {
 	h.mu.Lock()
 	due, held := h.lease.RenewalDue(clock.Now()), h.lease.Held()
@@ -309,26 +305,26 @@
 	if !due {
 		return nil
 	}
-	if err := h.confirm(ctx); errors.Is(err, ErrNotHolder) {
+	if err := h.forceRenewal(ctx); errors.Is(err, ErrNotHolder) {
 		return err
 	}
 	return nil
 }
 
-// confirm needs renewing. It renews the lease and fails with ErrNotHolder if the record is
-// another's. A renewal whose answer was lost, or that the store carried out late, has made
-// a revision that this instance does not know: the record is read then and written again.
-func (h *Holder) confirm(ctx context.Context) error {
+// forceRenewal renews the lease even if that is not due. It fails with ErrNotHolder if the record belongs to another
+// holder. A renewal whose response was lost, or that the store applied late, has created a revision that this
+// instance does not know; the record is then read and written again. h.renewMu must be held.
+func (h *Holder) forceRenewal(ctx context.Context) error {
 	sent, err := h.writeRenewal(ctx)
 	if errors.Is(err, store.ErrConflict) {
 		if _, err = h.adopt(ctx); err == nil {
 			sent, err = h.writeRenewal(ctx)
 		}
 	}
-	return h.noteRenewal(sent, err)
+	return h.recordRenewalResult(sent, err)
 }
 
-// writeRenewal needs renewing. It writes the renewed record, and returns when that was sent.
+// writeRenewal writes the renewed record and returns when it was sent. h.renewMu must be held.
 func (h *Holder) writeRenewal(ctx context.Context) (sent time.Time, err error) {
 	h.mu.Lock()
 	sent = clock.Now()
@@ -347,8 +343,8 @@
 	return sent, err
 }
 
-// adopt reads the record and takes its revision over. It fails with store.ErrConflict if
-// the record is another's.
+// adopt reads the record and takes over its revision. It fails with store.ErrConflict if the record belongs to
+// another holder.
 func (h *Holder) adopt(ctx context.Context) (revision store.Revision, err error) {
 	record, revision, err := h.Current(ctx)
 	if err != nil {
@@ -362,8 +358,9 @@
 	return revision, nil
 }
 
-// noteRenewal logs how a renewal that was sent at a time ended, and returns that.
-func (h *Holder) noteRenewal(sent time.Time, err error) error {
+// recordRenewalResult records and logs the result of a renewal that was sent at the given time, and returns its
+// error.
+func (h *Holder) recordRenewalResult(sent time.Time, err error) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	record, _ := h.lease.Record()
--- a/command/holder/lend.go
+++ b/command/holder/lend.go
@@ -6,34 +6,33 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// ServerLimits is what servers say of how much they take.
+// ServerLimits provides the request limits that servers have announced.
 type ServerLimits interface {
-	// Lent returns the limit of which a server's requests are lent, also for a while after it has
-	// ended; ok is false if there is none.
+	// Lent returns the limit of a server that is lent to instances, for a while also after the limit has ended. ok is
+	// false if there is none.
 	Lent(server string) (limit serving.Limit, ok bool)
-	// Limited reports whether a server has one now, and Any whether any has.
+	// Limited reports whether a server has a limit now. Any reports whether any server has one.
 	Limited(server string) bool
 	Any() bool
 }
 
-// unlimited are servers that take what comes.
+// unlimited is the ServerLimits of servers without limits.
 type unlimited struct{}
 
 func (unlimited) Lent(string) (serving.Limit, bool) { return serving.Limit{}, false }
 func (unlimited) Limited(string) bool               { return false }
 func (unlimited) Any() bool                         { return false }
 
-// Uses is what an instance reports of limits: those of workspaces, and those of servers by their
-// ids.
+// Uses is the usage of limits that an instance reports, of workspaces and of servers (by server id).
 type Uses struct{ Workspaces, Servers []quota.Use }
 
-// Loans is what it is lent of them.
+// Loans is the part of the limits that an instance may use.
 type Loans struct{ Workspaces, Servers []quota.Loan }
 
-// Lend takes over what an instance reports of limits, and returns what it is lent. lends is false
-// while this instance may not lend: shares stay as they are then.
+// Lend processes an instance's report of its usage and returns what it is lent. lends is false while this instance
+// may not lend; the shares of instances then stay as they are.
 func (h *Holder) Lend(instance string, uses Uses) (loans Loans, lends bool) {
-	h.renewToLend()
+	h.renewForLending()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := clock.Exact()
@@ -50,10 +49,10 @@
 	return loans, true
 }
 
-// DrawTurn answers whether a request may be sent to a server that limits what it takes, beyond
-// what its instance was lent.
+// DrawTurn decides whether a request may be sent to a server with a limit when the instance has used up what it was
+// lent.
 func (h *Holder) DrawTurn(server string, turn quota.Turn) quota.Answer {
-	h.renewToLend()
+	h.renewForLending()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := clock.Exact()
@@ -62,14 +61,14 @@
 	}
 	limit, ok := h.serverLimits.Lent(server)
 	if !ok || !h.serverLimits.Limited(server) {
-		return quota.Answer{Granted: true, Known: true} // a newer answer says that it is over
+		return quota.Answer{Granted: true, Known: true} // a newer response shows that the limit has ended
 	}
 	return h.serverLender.AskInTurn(server, limit, turn, now)
 }
 
-// Draw answers whether a request that goes beyond what its instance was lent may run.
+// Draw decides whether a request may run when its instance has used up what it was lent of the workspace's limit.
 func (h *Holder) Draw(workspace string, cost float64) quota.Answer {
-	h.renewToLend()
+	h.renewForLending()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := clock.Exact()
@@ -80,7 +79,7 @@
 	return h.lender.Ask(workspace, cost, limit, now)
 }
 
-// ExpectInstances says which instances may have shares of the holder before.
+// ExpectInstances names the instances that may still have shares from an earlier holder.
 func (h *Holder) ExpectInstances(names []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -88,8 +87,8 @@
 	h.serverLender.Expect(names)
 }
 
-// Limits returns what the holder knows of the limits of workspaces; held is false at other
-// instances.
+// Limits returns the holder's totals of the limits of workspaces. held is false at instances that do not hold the
+// lease.
 func (h *Holder) Limits() (totals []quota.Total, held bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,7 +98,7 @@
 	return h.lender.Totals(clock.Now()), true
 }
 
-// limitOf needs mu.
+// limitOf returns the limit of a workspace. h.mu must be held.
 func (h *Holder) limitOf(workspace string) (serving.Limit, bool) {
 	config := h.dir.Config()
 	if config == nil {
@@ -112,12 +111,12 @@
 	return w.Limit, true
 }
 
-// renewToLend has the lease be renewed if that is due and there is something to lend: while there
-// are no orders nothing else renews it. It costs a write a second in the whole deployment.
-func (h *Holder) renewToLend() {
+// renewForLending renews the lease in the background if a renewal is due and there is something to lend. Without
+// orders nothing else renews it. This costs one write to the store per second in the whole deployment.
+func (h *Holder) renewForLending() {
 	config := h.dir.Config()
 	lends := config != nil && config.Limited() || h.serverLimits.Any()
 	if lends && h.Holds() && h.renewalDue() {
-		h.renewBeside()
+		h.renewInBackground()
 	}
 }
--- a/command/holder/limit.go
+++ b/command/holder/limit.go
@@ -11,50 +11,50 @@
 	"github.com/martenport/martenport/store"
 )
 
-// prefixReplicas has a record of each model for which operators set a number of
-// replicas.
+// prefixReplicas is the prefix of the keys of the replica records, one for each model for which operators have set a
+// number of replicas.
 const prefixReplicas = "replicas/"
 
-// errLimit: the operators' number of replicas is used up.
+// errLimit is returned when a load would exceed the number of replicas that operators allow.
 var errLimit = errors.New("holder: no further replica is allowed")
 
-// errMoved: the engine's sequence is not the permitted one any more.
-var errMoved = errors.New("holder: the engine's sequence has moved")
+// errSequenceChanged is returned when the engine's sequence number is no longer the one that was recorded.
+var errSequenceChanged = errors.New("holder: the engine's sequence has changed")
 
-// maxPermits bounds how often one load is permitted anew because the engine's
-// sequence has moved: each time something else was ordered there.
-const maxPermits = 60
+// maxPermitAttempts bounds how often one load is recorded again because the engine's sequence number has changed.
+// Each time, another order was sent to the engine in between.
+const maxPermitAttempts = 60
 
-// load orders an operation's load. A limited model is ordered on the very sequence
-// that its permission names, or permitted anew. refused counts the answers that
-// another order was under way.
+// load orders an operation's load. The order for a model with a replica limit names exactly the sequence number that
+// was recorded for it; if that number is outdated, the load is recorded again. refused is the number of responses
+// that another order was in progress.
 func (w *worker) load(op replicas.Operation) (refused int, err error) {
 	limit, limited := w.limitOf(op)
 	if !limited {
-		return w.order(op, op.Load, false, anySequence)
+		return w.orderWithRetries(op, op.Load, false, anySequence)
 	}
-	for range maxPermits {
-		sequence, err := w.permit(op, limit)
+	for range maxPermitAttempts {
+		sequence, err := w.recordPermit(op, limit)
 		if err == nil {
-			refused, err = w.order(op, op.Load, false, sequence)
+			refused, err = w.orderWithRetries(op, op.Load, false, sequence)
 		}
-		if !errors.Is(err, errMoved) {
+		if !errors.Is(err, errSequenceChanged) {
 			return refused, err
 		}
 	}
-	return refused, errMoved
+	return refused, errSequenceChanged
 }
 
 func (w *worker) limitOf(op replicas.Operation) (limit limits.Limit, limited bool) {
 	if op.Load.Adapter != "" {
 		return limit, false
 	}
-	return w.h.limits.Limit(op.Load.Model)
+	return w.h.replicaLimits.Limit(op.Load.Model)
 }
 
-// permit writes into the store that an engine may get a limited model by a load
-// that is decided on the returned sequence.
-func (w *worker) permit(op replicas.Operation, limit limits.Limit) (sequence int64, err error) {
+// recordPermit writes into the store that the engine may load a model with a replica limit, by an order that names
+// the returned sequence number.
+func (w *worker) recordPermit(op replicas.Operation, limit limits.Limit) (sequence int64, err error) {
 	model := op.Load.Model
 	ctx, cancel := context.WithTimeout(w.ctx, w.h.params.Lease.Transit)
 	defer cancel()
@@ -65,9 +65,9 @@
 	}
 	record.Model = model
 	next, sequence, ok := w.grant(op, limit, record)
-	w.h.log.WithFields(logrus.Fields{"engine": w.engine, "model": model, "replicas": limit.Replicas, "recorded": len(record.Engines), "granted": ok}).Info("replica limit")
+	w.h.log.WithFields(logrus.Fields{"engine": w.engine, "model": model, "replicas": limit.Replicas, "recorded": len(record.Engines), "granted": ok}).Info("replica limit checked")
 	if !ok {
-		return 0, errors.Wrapf(errLimit, "%s: %d, in use or possible at %d engines", model, limit.Replicas, len(record.Engines))
+		return 0, errors.Wrapf(errLimit, "%s: limit %d, replicas exist or may exist at %d engines", model, limit.Replicas, len(record.Engines))
 	}
 	if next.Equal(record) {
 		return sequence, nil
@@ -76,7 +76,7 @@
 	return sequence, err
 }
 
-// grant decides by what the account says now.
+// grant decides by the current state of the fleet whether a load is within the limit.
 func (w *worker) grant(op replicas.Operation, limit limits.Limit, record limits.Record) (next limits.Record, sequence int64, ok bool) {
 	w.h.mu.Lock()
 	defer w.h.mu.Unlock()
--- a/command/holder/limit_test.go
+++ b/command/holder/limit_test.go
@@ -20,7 +20,7 @@
 	"github.com/martenport/martenport/store"
 )
 
-// fakeEngine is one engine that accepts orders on its sequence and loads at once.
+// fakeEngine is an engine that accepts orders at its sequence number and loads immediately.
 type fakeEngine struct {
 	mu       sync.Mutex
 	models   map[string][]string // guarded by mu
@@ -66,7 +66,7 @@
 	return found
 }
 
-// hookedStore calls written after each write of a model's record.
+// hookedStore calls written after each write of a model's replica record.
 type hookedStore struct {
 	store.Store
 	written func()
@@ -80,16 +80,15 @@
 	return obj, err
 }
 
-// one lets every model have one replica.
-type one struct{ limits.None }
+// oneReplica limits every model to one replica.
+type oneReplica struct{ limits.None }
 
-func (one) Limit(string) (limits.Limit, bool) { return limits.Limit{Replicas: 1}, true }
+func (oneReplica) Limit(string) (limits.Limit, bool) { return limits.Limit{Replicas: 1}, true }
 
-// TestLimitedLoadNamesRecordedSequence: between the record of a limited load and its
-// order another order, of an adapter say, may move the engine's sequence. The load
-// is then recorded anew, and never ordered on a sequence that is not recorded: a
-// late one would not be counted.
-func TestLimitedLoadNamesRecordedSequence(t *testing.T) {
+// TestLimitedLoadUsesRecordedSequence: between the write of the record of a limited load and its order, another
+// order, for example for an adapter, may increment the engine's sequence number. The load must then be recorded
+// again and never be ordered at a sequence number that is not recorded, because a late load would not be counted.
+func TestLimitedLoadUsesRecordedSequence(t *testing.T) {
 	engine := &fakeEngine{models: map[string][]string{}}
 	dir := directory.New()
 	spec := &serving.EngineSpec{MemoryMB: 100, Models: map[string]serving.Model{"m": {Name: "m", MemoryMB: 10, DiskLoad: time.Millisecond}}}
@@ -100,12 +99,12 @@
 	log.SetOutput(io.Discard)
 	platform := standin.NewPlatform()
 	var h *Holder
-	moves := 2
-	moved := hookedStore{Store: platform, written: func() {
-		if moves == 0 {
+	increments := 2
+	hooked := hookedStore{Store: platform, written: func() {
+		if increments == 0 {
 			return
 		}
-		moves--
+		increments--
 		engine.mu.Lock()
 		engine.sequence++
 		engine.mu.Unlock()
@@ -115,8 +114,8 @@
 	}}
 	params := DefaultParams("a", "a:1", time.Millisecond)
 	params.ReportLag = time.Millisecond
-	h = New(params, moved, engine, dir, NewCounts(metrics.NewSet()), log)
-	h.Limit(one{})
+	h = New(params, hooked, engine, dir, NewCounts(metrics.NewSet()), log)
+	h.Limit(oneReplica{})
 	if err := h.TakeOver(t.Context(), lease.Record{}, 0, "test"); err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +124,7 @@
 	go h.Run(ctx)
 	for limit := time.Now().Add(20 * time.Second); len(engine.loads("m")) == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("the model was not ordered")
+			t.Fatal("no load of the model was ordered within 20 s")
 		}
 		_, _, _ = h.Want(Request{Service: "llm", Unit: serving.Unit{Model: "m"}, Waiting: replicas.Waiting{Instance: "i", OnTime: 1}}, time.Now())
 	}
@@ -135,10 +134,10 @@
 	}
 	for _, o := range engine.loads("m") {
 		if o.Expect != record.Engines["e"] {
-			t.Errorf("a load was ordered on sequence %d, recorded is %d", o.Expect, record.Engines["e"])
+			t.Errorf("load ordered at sequence %d, recorded sequence is %d", o.Expect, record.Engines["e"])
 		}
 	}
-	if moves != 0 || record.Engines["e"] != 2 {
-		t.Errorf("recorded on sequence %d, %d moves left", record.Engines["e"], moves)
+	if increments != 0 || record.Engines["e"] != 2 {
+		t.Errorf("recorded at sequence %d with %d increments left", record.Engines["e"], increments)
 	}
 }
--- a/command/holder/order.go
+++ b/command/holder/order.go
@@ -13,35 +13,35 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// How a worker sends the orders of an operation.
+// This file implements sending the orders of an operation.
 
-// anySequence has an order name whatever the engine's sequence is.
+// anySequence lets an order name the engine's current sequence number, whatever it is.
 const anySequence = -1
 
-// order has the engine take one order, again while another is under way, less and
-// less often. pinned is the sequence that it must name, or anySequence. refused
-// counts the answers that another was under way.
-func (w *worker) order(op replicas.Operation, unit serving.Unit, unload bool, pinned int64) (refused int, err error) {
-	unsure := false
-	began := clock.Now()
-	for clock.Since(began) < w.h.params.OrderPatience {
-		answer, err := w.send(op, unit, unload, pinned)
+// orderWithRetries sends one order and repeats it with growing pauses while another order is in progress. pinned is
+// the sequence number that the order must name, or anySequence. refused is the number of responses that another
+// order was in progress.
+func (w *worker) orderWithRetries(op replicas.Operation, unit serving.Unit, unload bool, pinned int64) (refused int, err error) {
+	unanswered := false
+	startedAt := clock.Now()
+	for clock.Since(startedAt) < w.h.params.OrderRetryTimeout {
+		answer, err := w.sendOrder(op, unit, unload, pinned)
 		switch {
 		case errors.Is(err, serving.ErrOrderUnknown):
-			unsure = true
+			unanswered = true
 		case err != nil:
 			return refused, err
 		case answer == serving.OrderAccepted, answer == serving.OrderHolds:
 			return refused, nil
-		case answer == serving.OrderConflict && !unsure:
+		case answer == serving.OrderConflict && !unanswered:
 			refused++
 		default:
 			return refused, errors.Wrapf(errEngine, "%s of %s: %s", operationName(unload), unit, answer)
 		}
-		if err := w.confirm(began); err != nil {
+		if err := w.checkSequence(startedAt); err != nil {
 			return refused, err
 		}
-		wait := min(maxOrderPause, max(w.h.params.OrderPause, clock.Since(began)))
+		wait := min(maxOrderPause, max(w.h.params.OrderRetryPause, clock.Since(startedAt)))
 		if !unload {
 			w.h.mu.Lock()
 			w.h.fleet.Delayed(op, wait, clock.Now())
@@ -51,47 +51,46 @@
 			return refused, w.ctx.Err()
 		}
 	}
-	return refused, errors.Wrapf(errEngine, "%s of %s: another order stayed under way", operationName(unload), unit)
+	return refused, errors.Wrapf(errEngine, "%s of %s: another order was still in progress at the end of the retries", operationName(unload), unit)
 }
 
-// maxOrderPause bounds the pause between two sends of an order, which is as long as it
-// has been tried for: an unload that waits for running requests may take seconds, and
-// shorter pauses change nothing but the number of refused orders.
+// maxOrderPause bounds the pause between two sends of an order. The pause is as long as the order has been tried
+// for: an unload that waits for running requests may take seconds, and shorter pauses would only increase the number
+// of refused orders.
 const maxOrderPause = 300 * time.Millisecond
 
-// confirmAfter is how long an order is refused before the engine is asked whether
-// another is under way at all: the account's sequence may be wrong instead. It is
-// asked again each confirmAfter.
-const confirmAfter = time.Second
+// sequenceCheckInterval is how long an order is refused before the engine is asked whether another order is in
+// progress at all; the recorded sequence number may be wrong instead. The check is repeated at this interval.
+const sequenceCheckInterval = time.Second
 
-// confirm fails if the engine is not busy and has counted other orders than the
-// account. began is when the order was first sent.
-func (w *worker) confirm(began time.Time) error {
-	if clock.Since(began) < confirmAfter || !w.mayConfirm() {
+// checkSequence fails if the engine is idle and its sequence number differs from the recorded one. startedAt is when
+// the order was first sent.
+func (w *worker) checkSequence(startedAt time.Time) error {
+	if clock.Since(startedAt) < sequenceCheckInterval || !w.sequenceCheckDue() {
 		return nil
 	}
 	report, err := w.report()
 	if err != nil || report.Busy {
-		return nil // without a report the order's own tries tell, and they are logged
+		return nil // without a report the retries of the order decide; they are logged
 	}
 	w.h.mu.Lock()
 	defer w.h.mu.Unlock()
 	if e := w.h.fleet.Engine(w.engine); e != nil && report.Sequence != e.Sequence {
-		return errors.Wrapf(errEngine, "the engine is not busy and has accepted %d orders, not %d", report.Sequence, e.Sequence)
+		return errors.Wrapf(errEngine, "the engine is idle at sequence %d, expected %d", report.Sequence, e.Sequence)
 	}
 	return nil
 }
 
-// mayConfirm reports whether a report would tell something new: the last one was
-// long ago, and the last accepted order is old enough to be in it.
-func (w *worker) mayConfirm() bool {
-	w.ordering.Lock()
-	defer w.ordering.Unlock()
+// sequenceCheckDue reports whether a report of the engine would be new information: the last one was long ago, and
+// the last accepted order is old enough to be included.
+func (w *worker) sequenceCheckDue() bool {
+	w.orderMu.Lock()
+	defer w.orderMu.Unlock()
 	now := clock.Now()
-	if now.Sub(w.confirmed) < confirmAfter || now.Sub(w.accepted) < confirmAfter {
+	if now.Sub(w.sequenceCheckedAt) < sequenceCheckInterval || now.Sub(w.lastAccepted) < sequenceCheckInterval {
 		return false
 	}
-	w.confirmed = now
+	w.sequenceCheckedAt = now
 	return true
 }
 
@@ -102,12 +101,12 @@
 	return "load"
 }
 
-// send sends one order with the engine's sequence as known now. The lease is
-// checked immediately before.
-func (w *worker) send(op replicas.Operation, unit serving.Unit, unload bool, pinned int64) (serving.OrderAnswer, error) {
-	w.ordering.Lock()
-	defer w.ordering.Unlock()
-	fence, err := w.h.fence(w.ctx, w.engine)
+// sendOrder sends one order that names the engine's recorded sequence number. It checks the lease immediately before
+// sending.
+func (w *worker) sendOrder(op replicas.Operation, unit serving.Unit, unload bool, pinned int64) (serving.OrderAnswer, error) {
+	w.orderMu.Lock()
+	defer w.orderMu.Unlock()
+	fence, err := w.h.orderFence(w.ctx, w.engine)
 	if err != nil {
 		return 0, err
 	}
@@ -116,35 +115,35 @@
 	w.h.mu.Lock()
 	if !w.h.fleet.Current(op) {
 		w.h.mu.Unlock()
-		return 0, errors.Wrap(errEngine, "what is known of the engine has changed since the operation was planned")
+		return 0, errors.Wrap(errEngine, "the engine's state has changed since the operation was planned")
 	}
 	e := w.h.fleet.Engine(w.engine)
 	if pinned != anySequence && e.Sequence != pinned {
 		w.h.mu.Unlock()
-		return 0, errMoved
+		return 0, errSequenceChanged
 	}
 	o := serving.Order{Server: e.Server, Unit: unit, Unload: unload, Expect: e.Sequence, Holder: w.h.params.Name, Fence: fence}
 	w.h.mu.Unlock()
 	answer, err := w.h.engines.Order(ctx, o)
 	w.lastOrder = clock.Now()
-	w.noteAnswer(o, answer, err)
+	w.recordAnswer(o, answer, err)
 	if err != nil {
 		err = errors.Mark(err, errEngine)
 	}
 	return answer, err
 }
 
-// noteAnswer counts an accepted order, and notes one whose answer was lost. An engine that already held what was
-// ordered has counted nothing, but for an adapter that it unloaded at once.
-func (w *worker) noteAnswer(o serving.Order, answer serving.OrderAnswer, err error) {
-	w.h.counts.order(answer)
-	counted := answer == serving.OrderAccepted || answer == serving.OrderHolds && o.Unload && o.Unit.Adapter != ""
+// recordAnswer counts an accepted order and records one whose response was lost. An engine that already had what was
+// ordered has not incremented its sequence number, except for an adapter that it unloaded at once.
+func (w *worker) recordAnswer(o serving.Order, answer serving.OrderAnswer, err error) {
+	w.h.counts.countOrder(answer)
+	incremented := answer == serving.OrderAccepted || answer == serving.OrderHolds && o.Unload && o.Unit.Adapter != ""
 	w.h.mu.Lock()
 	switch {
 	case errors.Is(err, serving.ErrOrderUnknown):
 		w.h.fleet.Unanswered(w.engine, w.lastOrder)
-	case err == nil && counted:
-		w.accepted = w.lastOrder
+	case err == nil && incremented:
+		w.lastAccepted = w.lastOrder
 		w.h.fleet.Ordered(w.engine)
 	}
 	w.h.mu.Unlock()
--- a/command/holder/outage_test.go
+++ b/command/holder/outage_test.go
@@ -12,16 +12,15 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// TestStoreOutage: while the store does not answer, orders go on for as long as the
-// lease is good without a renewal, and stop then; what the engine holds is offered all
-// the time, since its orders failed by no fault of its own; and orders go on within a
-// second of the store's return. Found on the booking desk's trouble-3: each order
-// waited for a renewal and then had no time left, the engine was passed over for that,
-// and models that it held were not offered for eight seconds.
+// TestStoreOutage: while the store does not answer, orders continue for as long as the lease is valid without a
+// renewal, and stop then. The models that the engine has are offered all the time, because its orders did not fail
+// by a fault of the engine. Orders resume soon after the store's return. In the booking desk's run trouble-3 each
+// order waited for a renewal and then had no time left. The engine was avoided because of that, and models that it
+// had were not offered for eight seconds.
 func TestStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := standin.NewPlatform()
-		engine := &judged{fakeEngine: fakeEngine{models: map[string][]string{}}}
+		engine := &recordingEngine{fakeEngine: fakeEngine{models: map[string][]string{}}}
 		h := newTestHolder("a", platform, engine, time.Second, "m1", "m2")
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -29,44 +28,44 @@
 			t.Fatal(err)
 		}
 		go h.Run(ctx)
-		go keepWanting(ctx, h, "m1", "m2")
+		go requestModelsInTurn(ctx, h, "m1", "m2")
 		time.Sleep(10 * time.Second)
-		began := time.Now()
+		outageStart := time.Now()
 		platform.SetDelay(time.Hour)
-		for time.Since(began) < 8*time.Second {
+		for time.Since(outageStart) < 8*time.Second {
 			time.Sleep(100 * time.Millisecond)
-			assertHeldOffered(t, h, engine, time.Since(began))
+			assertLoadedModelsOffered(t, h, engine, time.Since(outageStart))
 		}
 		platform.SetDelay(0)
-		returned := time.Now()
+		outageEnd := time.Now()
 		time.Sleep(6 * time.Second)
 		stop()
 		time.Sleep(5 * time.Second)
 		during, after := 0, time.Duration(-1)
 		for _, o := range engine.accepted {
 			switch at := o.at; {
-			case at.Before(began):
-			case at.Before(returned):
+			case at.Before(outageStart):
+			case at.Before(outageEnd):
 				during++
-				if since := at.Sub(began); since > validity {
-					t.Errorf("an order %s into the outage, the lease is good for %s", since, validity)
+				if since := at.Sub(outageStart); since > validity {
+					t.Errorf("order accepted %s after the start of the outage, the lease is valid for %s", since, validity)
 				}
 			case after < 0:
-				after = at.Sub(returned)
+				after = at.Sub(outageEnd)
 			}
 		}
-		// One turn of models is 2.4 s long, so one of two is within the validity.
+		// Each model is requested for 2.4 s at a time, so one of two changes falls within the validity.
 		if during == 0 {
-			t.Error("no order in the outage while the lease was still good")
+			t.Error("no order during the outage while the lease was valid")
 		}
 		if after < 0 || after > 4*time.Second {
-			t.Errorf("first order %s after the outage", after)
+			t.Errorf("first order %s after the end of the outage, want 4 s at most", after)
 		}
 	})
 }
 
-// assertHeldOffered fails unless each model that the engine holds is offered there.
-func assertHeldOffered(t *testing.T, h *Holder, engine *judged, into time.Duration) {
+// assertLoadedModelsOffered fails the test unless each model that the engine has is offered there.
+func assertLoadedModelsOffered(t *testing.T, h *Holder, engine *recordingEngine, elapsed time.Duration) {
 	t.Helper()
 	engine.mu.Lock()
 	held := len(engine.models)
@@ -75,20 +74,20 @@
 		models = append(models, model)
 	}
 	engine.mu.Unlock()
-	if held == 0 || into < validity {
-		return // a load may be under way
+	if held == 0 || elapsed < validity {
+		return // a load may be in progress
 	}
 	for _, model := range models {
 		found, ok, err := h.Want(Request{Service: "llm", Unit: serving.Unit{Model: model}, Waiting: replicas.Waiting{}}, time.Now())
 		if err != nil || !ok || found.Engine == "" || found.Ready.After(time.Now()) {
-			t.Errorf("%s into the outage: %s is held and not offered: %+v, %v, %v", into, model, found, ok, err)
+			t.Errorf("%s after the start of the outage: loaded model %s is not offered: %+v, %v, %v", elapsed, model, found, ok, err)
 		}
 	}
 }
 
-// busyEngine is one whose unloads wait for running requests.
+// busyEngine is an engine whose unloads wait for running requests.
 type busyEngine struct {
-	judged
+	recordingEngine
 	unloading time.Duration
 	until     time.Time // guarded by mu
 	refused   int       // guarded by mu
@@ -107,24 +106,23 @@
 	if busy {
 		return serving.OrderConflict, nil
 	}
-	return b.judged.Order(ctx, o)
+	return b.recordingEngine.Order(ctx, o)
 }
 
 func (b *busyEngine) Report(ctx context.Context, s serving.Server) (serving.Report, error) {
-	r, err := b.judged.Report(ctx, s)
+	r, err := b.recordingEngine.Report(ctx, s)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r.Busy = time.Now().Before(b.until)
 	return r, err
 }
 
-// TestUnloadThatWaits: an unload that waits for requests for longer than a load takes
-// does not fail its engine; the load follows it, and few orders are refused meanwhile.
-// Found on the booking desk's scale-1: the engine was passed over after 2.4 s, and busy
-// models that it had were loaded anew from the weight store.
-func TestUnloadThatWaits(t *testing.T) {
+// TestSlowUnloadDoesNotFailEngine: an unload that waits for requests for longer than a load takes must not count as
+// a failure of the engine. The load follows it, and few orders are refused meanwhile. In the booking desk's run
+// scale-1 the engine was avoided after 2.4 s, and busy models that it had were loaded again from the weight store.
+func TestSlowUnloadDoesNotFailEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine := &busyEngine{judged: judged{fakeEngine: fakeEngine{models: map[string][]string{"m1": nil}}}, unloading: 6 * time.Second}
+		engine := &busyEngine{recordingEngine: recordingEngine{fakeEngine: fakeEngine{models: map[string][]string{"m1": nil}}}, unloading: 6 * time.Second}
 		h := newTestHolder("a", standin.NewPlatform(), engine, time.Millisecond, "m1", "m2")
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -141,14 +139,14 @@
 			failing := e.Unsure || time.Now().Before(e.Failing)
 			h.mu.Unlock()
 			if failing {
-				t.Fatal("the engine is passed over while its unload waits")
+				t.Fatal("the engine is avoided while its unload waits")
 			}
 		}
 		if loads := engine.loads("m2"); len(loads) == 0 || len(engine.accepted) < 2 {
-			t.Errorf("%d orders accepted, want the unload and the load", len(engine.accepted))
+			t.Errorf("%d orders accepted, want an unload and a load", len(engine.accepted))
 		}
 		if engine.refused == 0 || engine.refused > 30 {
-			t.Errorf("%d orders refused in 6 s, want some and 30 at most", engine.refused)
+			t.Errorf("%d orders refused in 6 s, want between 1 and 30", engine.refused)
 		}
 	})
 }
--- a/command/holder/peers.go
+++ b/command/holder/peers.go
@@ -5,40 +5,39 @@
 	"time"
 )
 
-// peers counts the instances of each failure domain, for the budget of repeated sends
-// that they share. A count that is too small has them take more than there is, so one
-// that is not heard is not left out at once: it may be cut off from the holder, and
-// go on spending.
+// peers counts the instances of each failure domain, which share a budget of repeated sends. If the count is too
+// small, the instances together exceed the budget. An instance that stops reporting is therefore still counted for a
+// time: it may be partitioned from the holder and continue to use its share.
 type peers struct {
-	// began is when the first was heard.
-	began time.Time
-	known map[string]peer // by name
+	// firstReport is when the first report was received.
+	firstReport time.Time
+	known       map[string]peer // by name
 }
 
 type peer struct {
-	domain string
-	heard  time.Time
+	domain     string
+	lastReport time.Time
 }
 
-// peerLifetime is how long an instance that is not heard any more is counted: longer
-// than partitions last, in all but rare cases.
-const peerLifetime = 10 * time.Minute
+// peerRetention is how long an instance that has stopped reporting is counted. It is longer than all but rare
+// partitions.
+const peerRetention = 10 * time.Minute
 
-// heard notes an instance's word.
-func (p *peers) heard(name, domain string, now time.Time) {
-	if p.began.IsZero() {
-		p.began = now
+// recordReport records a report of an instance.
+func (p *peers) recordReport(name, domain string, now time.Time) {
+	if p.firstReport.IsZero() {
+		p.firstReport = now
 	}
 	p.known[name] = peer{domain, now}
 }
 
-// count returns how many instances a failure domain has; 0 while not all of them can
-// have reported: after a take-over the first would be told that it is alone.
+// count returns the number of instances in a failure domain. It returns 0 until all of them can have reported;
+// otherwise the first one to report after a take-over would be told that it is the only one.
 func (p *peers) count(domain string, now time.Time) int {
-	if now.Sub(p.began) < instanceLifetime {
+	if now.Sub(p.firstReport) < reportLifetime {
 		return 0
 	}
-	maps.DeleteFunc(p.known, func(_ string, known peer) bool { return now.Sub(known.heard) > peerLifetime })
+	maps.DeleteFunc(p.known, func(_ string, known peer) bool { return now.Sub(known.lastReport) > peerRetention })
 	n := 0
 	for _, known := range p.known {
 		if known.domain == domain {
--- a/command/holder/renewal_test.go
+++ b/command/holder/renewal_test.go
@@ -9,7 +9,7 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// takeOverFrom has h take the lease over from whoever has it, and do its work.
+// takeOverFrom lets h take over the lease from any holder and starts its work.
 func takeOverFrom(ctx context.Context, t *testing.T, h *Holder) {
 	t.Helper()
 	record, revision, err := h.Current(ctx)
@@ -20,29 +20,28 @@
 		t.Fatal(err)
 	}
 	go h.Run(ctx)
-	go keepWanting(ctx, h, "m1", "m2")
+	go requestModelsInTurn(ctx, h, "m1", "m2")
 }
 
-// TestSuccessorCountsFromTheLastRenewal: a holder is killed. The instance that has heard
-// its answers until then takes over 1.7 s later, when it is sure, and orders once the
-// killed one's last order is settle ago: 5.7 s after the last renewal, not after the
-// take-over.
-func TestSuccessorCountsFromTheLastRenewal(t *testing.T) {
+// TestSuccessorWaitsFromLastKnownRenewal: a holder is killed. The instance that received its replies until then
+// takes over 1.7 s later, when it is sure of the loss. It sends orders from 5.7 s after the last renewal, not after
+// the take-over; the last order of the killed holder is then at least settle ago.
+func TestSuccessorWaitsFromLastKnownRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const settle, untilSure = 3 * time.Second, 1700 * time.Millisecond
 		platform := standin.NewPlatform()
-		engine := &judged{fakeEngine: fakeEngine{models: map[string][]string{}}}
+		engine := &recordingEngine{fakeEngine: fakeEngine{models: map[string][]string{}}}
 		a := newTestHolder("a", platform, engine, settle, "m1", "m2")
 		b := newTestHolder("b", platform, engine, settle, "m1", "m2")
-		first, kill := context.WithCancel(t.Context())
-		takeOverFrom(first, t, a)
+		aCtx, kill := context.WithCancel(t.Context())
+		takeOverFrom(aCtx, t, a)
 		for range 100 {
 			time.Sleep(125 * time.Millisecond)
-			news, err := a.Exchange(Report{Name: "b"}, time.Now())
+			reply, err := a.Exchange(Report{Name: "b"}, time.Now())
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Heard(news.Lease)
+			b.Heard(reply.Lease)
 		}
 		kill()
 		killed := time.Now()
@@ -52,36 +51,36 @@
 		takeOverFrom(ctx, t, b)
 		time.Sleep(10 * time.Second)
 		stop()
-		time.Sleep(10 * time.Second) // all that runs has ended
+		time.Sleep(10 * time.Second) // let all goroutines end
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
-		last, began := time.Time{}, time.Time{}
+		lastByA, firstByB := time.Time{}, time.Time{}
 		for _, o := range engine.accepted {
 			switch {
 			case o.holder == "a":
-				last = o.at
-			case began.IsZero():
-				began = o.at
+				lastByA = o.at
+			case firstByB.IsZero():
+				firstByB = o.at
 			}
 		}
-		if last.IsZero() || began.IsZero() {
-			t.Fatalf("orders %v", engine.accepted)
+		if lastByA.IsZero() || firstByB.IsZero() {
+			t.Fatalf("orders %v, want some of both holders", engine.accepted)
 		}
-		if took, most := began.Sub(killed), validity+settle+settleSlack+500*time.Millisecond; took > most {
-			t.Errorf("loads stopped for %s after the holder was killed, want %s at most", took, most)
+		if stopped, most := firstByB.Sub(killed), validity+settle+settleSlack+500*time.Millisecond; stopped > most {
+			t.Errorf("no orders for %s after the holder was killed, want %s at most", stopped, most)
 		}
-		if gap := began.Sub(last); gap < settle {
-			t.Errorf("ordered %s after the one before", gap)
+		if gap := firstByB.Sub(lastByA); gap < settle {
+			t.Errorf("first order %s after the last one of the earlier holder", gap)
 		}
 	})
 }
 
-// TestRenewalWithoutAnswer: the store carries renewals out and their answers are lost. The
-// holder does not take the record that they made for another's, and keeps ordering.
+// TestRenewalWithoutAnswer: the store applies renewals but their responses are lost. The holder must not treat the
+// record that they created as that of another holder, and must continue to send orders.
 func TestRenewalWithoutAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := standin.NewPlatform()
-		engine := &judged{fakeEngine: fakeEngine{models: map[string][]string{}}}
+		engine := &recordingEngine{fakeEngine: fakeEngine{models: map[string][]string{}}}
 		a := newTestHolder("a", platform, engine, time.Second, "m1", "m2")
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -93,20 +92,20 @@
 		time.Sleep(5 * time.Second)
 		now := time.Now()
 		stop()
-		time.Sleep(10 * time.Second) // all that runs has ended
+		time.Sleep(10 * time.Second) // let all goroutines end
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
 		if n := len(engine.accepted); a.Fence() != 1 || n < 15 {
-			t.Errorf("%d orders, under token %d", n, a.Fence())
+			t.Errorf("%d orders with token %d", n, a.Fence())
 		}
 		if last := engine.accepted[len(engine.accepted)-1]; now.Sub(last.at) > 5*time.Second {
-			t.Errorf("the last order is %s ago", now.Sub(last.at))
+			t.Errorf("the last order was %s ago, want 5 s at most", now.Sub(last.at))
 		}
 	})
 }
 
-// TestReleaseAfterRenewalWithoutAnswer: the same, and then the holder leaves: its successor
-// finds the lease given up.
+// TestReleaseAfterRenewalWithoutAnswer: the response of a renewal is lost and then the holder leaves. Its successor
+// must find the lease released.
 func TestReleaseAfterRenewalWithoutAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := standin.NewPlatform()
@@ -116,16 +115,16 @@
 		takeOverFrom(ctx, t, a)
 		time.Sleep(10 * time.Second)
 		platform.LoseAnswers(1)
-		a.renewing.Lock()
+		a.renewMu.Lock()
 		if _, err := a.writeRenewal(ctx); err == nil {
-			t.Error("the answer was not lost")
+			t.Error("the response was not lost")
 		}
-		a.renewing.Unlock()
+		a.renewMu.Unlock()
 		a.Release(ctx)
 		if record, _, err := a.Current(ctx); err != nil || !record.Released {
-			t.Errorf("the record is %+v, %v", record, err)
+			t.Errorf("record %+v, error %v, want it released", record, err)
 		}
 		stop()
-		time.Sleep(10 * time.Second) // all that runs has ended
+		time.Sleep(10 * time.Second) // let all goroutines end
 	})
 }
--- a/command/holder/succession_test.go
+++ b/command/holder/succession_test.go
@@ -16,13 +16,12 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// judged is a fakeEngine that notes which holder's orders it accepted, when, and
-// can keep a holder's next order back, as the freeze of its machine would between
-// the check of the lease and the send.
-type judged struct {
+// recordingEngine is a fakeEngine that records the accepted orders with their holder and time. It can delay the next
+// order of holder a, as a freeze of that holder's machine between the check of the lease and the send would.
+type recordingEngine struct {
 	fakeEngine
 	accepted []acceptedOrder
-	frozen   chan struct{} // closed when the machine wakes; nil while it runs
+	frozen   chan struct{} // closed when the machine resumes; nil while it runs
 }
 
 type acceptedOrder struct {
@@ -31,24 +30,24 @@
 	at     time.Time
 }
 
-func (j *judged) Order(ctx context.Context, o serving.Order) (serving.OrderAnswer, error) {
-	j.mu.Lock()
-	frozen := j.frozen
-	j.mu.Unlock()
+func (r *recordingEngine) Order(ctx context.Context, o serving.Order) (serving.OrderAnswer, error) {
+	r.mu.Lock()
+	frozen := r.frozen
+	r.mu.Unlock()
 	if o.Holder == "a" && frozen != nil {
 		<-frozen
-		ctx = context.WithoutCancel(ctx) // the kernel sends what was written
+		ctx = context.WithoutCancel(ctx) // the kernel sends data that was already written
 	}
-	answer, err := j.fakeEngine.Order(ctx, o)
+	answer, err := r.fakeEngine.Order(ctx, o)
 	if answer == serving.OrderAccepted {
-		j.mu.Lock()
-		defer j.mu.Unlock()
-		j.accepted = append(j.accepted, acceptedOrder{holder: o.Holder, fence: o.Fence, at: time.Now()})
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.accepted = append(r.accepted, acceptedOrder{holder: o.Holder, fence: o.Fence, at: time.Now()})
 	}
 	return answer, err
 }
 
-// newTestHolder returns a holder named name before one engine for the models.
+// newTestHolder returns a holder with the given name and one engine for the models.
 func newTestHolder(name string, platform *standin.Platform, engine serving.Engines, settle time.Duration, models ...string) *Holder {
 	spec := &serving.EngineSpec{MemoryMB: 15, Models: map[string]serving.Model{}}
 	tiers := map[string]serving.Tier{}
@@ -64,9 +63,9 @@
 	return New(DefaultParams(name, name+":1", settle), platform, engine, dir, NewCounts(metrics.NewSet()), log)
 }
 
-// keepWanting asks for the models by turns until ctx ends: one fits, so that each
-// turn is another load. A turn is longer than a model is kept for those who asked.
-func keepWanting(ctx context.Context, h *Holder, models ...string) {
+// requestModelsInTurn requests the models in turn until ctx ends. Only one fits on the engine, so each turn causes a
+// load. A turn is longer than a model is kept for the requests that asked for it.
+func requestModelsInTurn(ctx context.Context, h *Holder, models ...string) {
 	const turn = 8
 	for i := 0; ctx.Err() == nil; i++ {
 		_, _, _ = h.Want(Request{Service: "llm", Unit: serving.Unit{Model: models[i/turn%len(models)]}, Waiting: replicas.Waiting{Instance: "i", OnTime: 1}}, time.Now())
@@ -74,15 +73,14 @@
 	}
 }
 
-// TestFrozenHolder: a holder freezes with an order checked and not sent; another
-// takes over. The successor's first order is as long after the last one before as
-// the deployment asks, and the order that the old holder sends when it wakes is
-// refused: it is of an older sequence.
+// TestFrozenHolder: a holder freezes after checking the lease and before sending an order, and another instance
+// takes over. The successor's first order must follow the last one of the old holder by at least settle. The order
+// that the old holder sends when it wakes must be refused, because it names an older sequence number.
 func TestFrozenHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const settle = 3 * time.Second
 		platform := standin.NewPlatform()
-		engine := &judged{fakeEngine: fakeEngine{models: map[string][]string{}}}
+		engine := &recordingEngine{fakeEngine: fakeEngine{models: map[string][]string{}}}
 		a := newTestHolder("a", platform, engine, settle, "m1", "m2")
 		b := newTestHolder("b", platform, engine, settle, "m1", "m2")
 		ctx, stop := context.WithCancel(t.Context())
@@ -102,19 +100,19 @@
 		engine.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		stop()
-		time.Sleep(10 * time.Second) // all that runs has ended
+		time.Sleep(10 * time.Second) // let all goroutines end
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
 		if before == 0 || len(engine.accepted) < before+2 || a.Holds() {
-			t.Fatalf("%d orders before, %d in all, the old holder holds the lease: %v", before, len(engine.accepted), a.Holds())
+			t.Fatalf("%d orders before the freeze, %d in total, old holder holds the lease: %v", before, len(engine.accepted), a.Holds())
 		}
 		for i, o := range engine.accepted[1:] {
 			last := engine.accepted[i]
 			if o.fence < last.fence {
-				t.Errorf("token %d of %s after %d of %s", o.fence, o.holder, last.fence, last.holder)
+				t.Errorf("order with token %d of %s after token %d of %s", o.fence, o.holder, last.fence, last.holder)
 			}
 			if o.holder != last.holder && o.at.Sub(last.at) < settle {
-				t.Errorf("%s orders %s after %s", o.holder, o.at.Sub(last.at), last.holder)
+				t.Errorf("%s sends an order %s after one of %s", o.holder, o.at.Sub(last.at), last.holder)
 			}
 		}
 	})
--- a/command/holder/suspended_test.go
+++ b/command/holder/suspended_test.go
@@ -10,22 +10,22 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// TestSuspendedHolder: a holder whose machine was suspended for longer than its lease was
-// good orders nothing more, though by the steady clock it has renewed a moment ago. Its
-// successor may order by then, and not all engines compare fencing tokens.
+// TestSuspendedHolder: a holder whose machine was suspended for longer than its lease was valid must send no more
+// orders, even though by the steady clock it renewed the lease a moment ago. Its successor may send orders by then,
+// and not all engines compare fencing tokens.
 func TestSuspendedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		suspended := time.Duration(0)
 		defer clock.Replace(func() (time.Duration, bool) { return suspended, true })()
 		platform := standin.NewPlatform()
-		engine := &judged{fakeEngine: fakeEngine{models: map[string][]string{}}}
+		engine := &recordingEngine{fakeEngine: fakeEngine{models: map[string][]string{}}}
 		before := newTestHolder("a", platform, engine, time.Second, "m1")
 		after := newTestHolder("b", platform, engine, time.Second, "m1")
 		if err := before.TakeOver(t.Context(), lease.Record{}, 0, "test"); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := before.fence(t.Context(), "e1"); err != nil {
-			t.Fatalf("the holder may not order: %v", err)
+		if _, err := before.orderFence(t.Context(), "e1"); err != nil {
+			t.Fatalf("order not allowed before the suspension: %v", err)
 		}
 		record, revision, err := after.Current(t.Context())
 		if err != nil {
@@ -35,8 +35,8 @@
 			t.Fatal(err)
 		}
 		suspended = validity + time.Second
-		if token, err := before.fence(t.Context(), "e1"); err == nil {
-			t.Errorf("orders with token %d after it was suspended for %s", token, suspended)
+		if token, err := before.orderFence(t.Context(), "e1"); err == nil {
+			t.Errorf("order allowed with token %d after a suspension of %s", token, suspended)
 		}
 	})
 }
--- a/command/holder/views.go
+++ b/command/holder/views.go
@@ -9,12 +9,11 @@
 	"github.com/martenport/martenport/directory"
 )
 
-// views remembers what was last said of each engine, so that instances hear
-// only of what has changed.
+// views holds the last view of each engine, so that instances receive only views that have changed.
 type views struct {
-	change uint64
-	last   map[string]viewChange
-	made   time.Time
+	change      uint64
+	last        map[string]viewChange
+	refreshedAt time.Time
 }
 
 type viewChange struct {
@@ -22,16 +21,15 @@
 	change uint64
 }
 
-// viewsInterval bounds how often the views are made anew: many instances ask
-// within one.
+// viewsInterval is the minimum time between two computations of the views; many instances ask within it.
 const viewsInterval = 50 * time.Millisecond
 
-// maxViews bounds how many views one answer has: all instances ask at once when
-// there is a new holder, and the rest follows with their next reports.
+// maxViews bounds the number of views in one reply. All instances ask at once when there is a new holder; they
+// receive the rest in reply to their next reports.
 const maxViews = 128
 
-// since returns views that changed after a change, the oldest changes first, and
-// the change up to which they go.
+// since returns the views that have changed after the given change, the oldest changes first, and the change up to
+// which they are complete.
 func (v *views) since(change uint64, fleet *replicas.Fleet, now time.Time) ([]directory.EngineView, uint64) {
 	v.refresh(fleet, now)
 	var changed []viewChange
@@ -56,20 +54,20 @@
 	return views, upTo
 }
 
-// admissions needs mu. It returns which share of its deferrable requests to admit, by model.
+// admissions returns the share of deferrable requests to admit, by model. h.mu must be held.
 func (h *Holder) admissions(now time.Time) map[string]float64 {
-	if now.Sub(h.admitted) >= viewsInterval {
-		h.admitted = now
-		h.admit = h.fleet.Admissions(now)
+	if now.Sub(h.admissionsAt) >= viewsInterval {
+		h.admissionsAt = now
+		h.admissionShares = h.fleet.Admissions(now)
 	}
-	return h.admit
+	return h.admissionShares
 }
 
 func (v *views) refresh(fleet *replicas.Fleet, now time.Time) {
-	if now.Sub(v.made) < viewsInterval {
+	if now.Sub(v.refreshedAt) < viewsInterval {
 		return
 	}
-	v.made = now
+	v.refreshedAt = now
 	if v.last == nil {
 		v.last = map[string]viewChange{}
 	}
--- a/command/holder/worker.go
+++ b/command/holder/worker.go
@@ -14,33 +14,31 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// errEngine: an engine would not take an order, or nobody knows whether it has.
+// errEngine is returned when an engine refused or failed an order, or when the result of the order is unknown.
 var errEngine = errors.New("holder: order failed")
 
-// worker carries out the operations of one engine: those of models one after
-// the other, those of adapters beside them.
+// worker executes the operations of one engine: those of models one after the other, those of adapters concurrently
+// with them.
 type worker struct {
 	h      *Holder
 	engine string
 	ctx    context.Context
 	stop   context.CancelFunc
 
-	// ordering is held from the choice of an order's sequence to its answer.
-	ordering sync.Mutex
-	// lastOrder is when the last order was answered, accepted when one was last
-	// accepted, and confirmed when the engine was last asked whether the account is
-	// right; guarded by ordering.
-	lastOrder, accepted, confirmed time.Time
+	// orderMu is held from choosing an order's sequence number until its response.
+	orderMu sync.Mutex
+	// lastOrder is when the last order was answered, lastAccepted when one was last accepted, and sequenceCheckedAt
+	// when the engine was last asked for its sequence number; guarded by orderMu.
+	lastOrder, lastAccepted, sequenceCheckedAt time.Time
 
-	// adapters is held for reading while an adapter is loaded and for writing
-	// while the engine is read anew.
-	adapters sync.RWMutex
+	// adapterMu is held for reading while an adapter is loaded and for writing while the engine is read.
+	adapterMu sync.RWMutex
 
 	mu      sync.Mutex
 	queue   []replicas.Operation // guarded by mu
-	working bool                 // guarded by mu
-	// doubtful: the engine has to be read anew before the next operation.
-	doubtful bool // guarded by mu
+	running bool                 // guarded by mu
+	// needsRead is set if the engine has to be read before the next operation.
+	needsRead bool // guarded by mu
 }
 
 func newWorker(ctx context.Context, h *Holder, engine string) *worker {
@@ -49,8 +47,8 @@
 	return w
 }
 
-// carryOut queues an operation.
-func (w *worker) carryOut(op replicas.Operation) {
+// enqueue queues an operation.
+func (w *worker) enqueue(op replicas.Operation) {
 	if op.Load.Adapter != "" {
 		go w.loadAdapter(op)
 		return
@@ -61,42 +59,41 @@
 	w.start()
 }
 
-// readAnew has the engine read before its next operation. What was planned on
-// the account as it was is void by then.
-func (w *worker) readAnew() {
+// requestRead has the engine read before its next operation. Operations planned on the earlier state are void then.
+func (w *worker) requestRead() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.doubtful = true
+	w.needsRead = true
 	w.start()
 }
 
-// start needs mu.
+// start starts the worker's goroutine unless it runs. w.mu must be held.
 func (w *worker) start() {
-	if !w.working {
-		w.working = true
-		go w.work()
+	if !w.running {
+		w.running = true
+		go w.run()
 	}
 }
 
-// next takes the next operation from the queue; read means that the engine has
-// to be read first. more is false when there is nothing to do.
+// next returns the next operation from the queue. read means that the engine has to be read first. more is false if
+// there is nothing to do.
 func (w *worker) next() (op replicas.Operation, read, more bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case w.ctx.Err() != nil:
-	case w.doubtful:
-		w.doubtful = false
+	case w.needsRead:
+		w.needsRead = false
 		return op, true, true
 	case len(w.queue) > 0:
 		op, w.queue = w.queue[0], w.queue[1:]
 		return op, false, true
 	}
-	w.working = false
+	w.running = false
 	return op, false, false
 }
 
-func (w *worker) work() {
+func (w *worker) run() {
 	for {
 		op, read, more := w.next()
 		switch {
@@ -105,30 +102,29 @@
 		case read:
 			w.read()
 		default:
-			_ = w.do(op) // noted and logged there
+			_ = w.execute(op) // recorded and logged by execute
 		}
 	}
 }
 
 func (w *worker) loadAdapter(op replicas.Operation) {
 	w.awaitStart(op)
-	w.adapters.RLock()
-	defer w.adapters.RUnlock()
-	_ = w.do(op) // noted and logged there
+	w.adapterMu.RLock()
+	defer w.adapterMu.RUnlock()
+	_ = w.execute(op) // recorded and logged by execute
 }
 
-// lastAnswered waits until no order is on its way and returns when the last one
-// was answered.
-func (w *worker) lastAnswered() time.Time {
-	w.ordering.Lock()
-	defer w.ordering.Unlock()
+// waitForOrders waits until no order is in progress and returns when the last one was answered.
+func (w *worker) waitForOrders() time.Time {
+	w.orderMu.Lock()
+	defer w.orderMu.Unlock()
 	return w.lastOrder
 }
 
-// do carries one operation out and notes how it ended.
-func (w *worker) do(op replicas.Operation) error {
+// execute executes one operation and records its result.
+func (w *worker) execute(op replicas.Operation) error {
 	started := clock.Now()
-	err := w.steps(op)
+	err := w.runSteps(op)
 	w.h.mu.Lock()
 	switch {
 	case err == nil:
@@ -136,19 +132,18 @@
 	case errors.Is(err, errEngine):
 		w.h.fleet.Failed(op, clock.Now())
 	default:
-		w.h.fleet.Withdrawn(op) // no order was sent last: the lease, the store or a limit did not allow it
+		w.h.fleet.Withdrawn(op) // the last order was not sent: the lease, the store or a limit did not allow it
 	}
 	w.h.mu.Unlock()
 	w.h.dispatch(clock.Now())
-	w.h.counts.operation(op, err, clock.Since(started))
+	w.h.counts.observeOperation(op, err, clock.Since(started))
 	w.h.log.WithFields(logrus.Fields{
 		"engine": op.Engine, "load": op.Load.String(), "ms": clock.Since(started).Milliseconds(), "late_ms": clock.Since(op.Ready).Milliseconds(), "error": err,
 	}).Info("operation ended")
 	return err
 }
 
-// awaitStart waits until the operation's first order may be sent, and reports
-// whether the worker still works then.
+// awaitStart waits until the operation's first order may be sent. It returns false if the worker was stopped.
 func (w *worker) awaitStart(op replicas.Operation) bool {
 	w.h.mu.Lock()
 	from := w.h.lease.OrderFrom(w.engine)
@@ -159,8 +154,8 @@
 	return pause.For(w.ctx, clock.Until(from))
 }
 
-// steps unloads what has to go, orders the load and waits for it.
-func (w *worker) steps(op replicas.Operation) error {
+// runSteps unloads what the operation replaces, orders the load and waits for it.
+func (w *worker) runSteps(op replicas.Operation) error {
 	if !w.awaitStart(op) {
 		return w.ctx.Err()
 	}
@@ -182,7 +177,7 @@
 	if op.Remote {
 		err := w.awaitRemote(op, now.Add(op.Duration))
 		if err == nil {
-			w.h.counts.weightStore(op.Duration, clock.Since(now))
+			w.h.counts.observeWeightStoreLoad(op.Duration, clock.Since(now))
 		}
 		return err
 	}
@@ -192,14 +187,14 @@
 	return nil
 }
 
-// unload orders what has to go to be unloaded, and returns when the last unload of a
-// model was accepted, zero if there was none.
+// unload orders the unloads of the operation. It returns when the last unload of a model was accepted, zero if there
+// was none.
 func (w *worker) unload(op replicas.Operation) (accepted time.Time, err error) {
 	for _, unit := range op.Unload {
 		if !w.awaitUnloaded(accepted) {
 			return accepted, w.ctx.Err()
 		}
-		if _, err := w.order(op, unit, true, anySequence); err != nil {
+		if _, err := w.orderWithRetries(op, unit, true, anySequence); err != nil {
 			return accepted, err
 		}
 		if unit.Adapter == "" {
@@ -212,8 +207,8 @@
 	return accepted, nil
 }
 
-// awaitUnloaded waits until an unload that was accepted at a time is expected to be
-// done, since the engine refuses orders until then.
+// awaitUnloaded waits until an unload that was accepted at the given time is expected to be complete; the engine
+// refuses orders until then. It returns false if the worker was stopped.
 func (w *worker) awaitUnloaded(accepted time.Time) bool {
 	if accepted.IsZero() {
 		return w.ctx.Err() == nil
@@ -224,15 +219,14 @@
 	return pause.For(w.ctx, clock.Until(done))
 }
 
-// remotePatience times the expected time a load from the weight store may be late: while
-// nothing is known of the store's speed as many loads as are tried slow each other.
-const remotePatience = 4
+// remoteTimeoutFactor times the expected duration is the time by which a load from the weight store may be late.
+// While the store's speed is unknown, all loads that are tried slow each other down.
+const remoteTimeoutFactor = 4
 
-// awaitRemote waits for a load from the weight store, whose time depends on how
-// many others run.
+// awaitRemote waits for a load from the weight store, whose duration depends on the number of concurrent loads.
 func (w *worker) awaitRemote(op replicas.Operation, ready time.Time) error {
-	limit := ready.Add(remotePatience * op.Duration)
-	for clock.Now().Before(limit) {
+	deadline := ready.Add(remoteTimeoutFactor * op.Duration)
+	for clock.Now().Before(deadline) {
 		if !pause.For(w.ctx, max(w.h.params.ReportLag, clock.Until(ready))) {
 			return w.ctx.Err()
 		}
@@ -245,33 +239,33 @@
 		case loaded && !report.Busy:
 			return nil
 		case !report.Busy:
-			return errors.Wrapf(errEngine, "the engine neither has %s nor loads it", op.Load)
+			return errors.Wrapf(errEngine, "engine is idle and has not loaded %s", op.Load)
 		}
 		w.h.mu.Lock()
 		ready = w.h.fleet.Lasts(op, clock.Now())
 		w.h.mu.Unlock()
 	}
-	return errors.Wrapf(errEngine, "%s was not loaded by %s", op.Load, limit)
+	return errors.Wrapf(errEngine, "%s not loaded before the deadline %s", op.Load, deadline)
 }
 
-func (w *worker) unsure() bool {
+func (w *worker) readNeeded() bool {
 	w.h.mu.Lock()
 	defer w.h.mu.Unlock()
 	return w.h.fleet.Readable(w.engine, clock.Now())
 }
 
-// readTries bounds one reading; the next tick begins another.
-const readTries = 5
+// maxReadAttempts bounds the attempts of one read. The next tick starts another.
+const maxReadAttempts = 5
 
-// read reads the engine until no order is under way. None is sent meanwhile: what
-// was planned on an account that is unsure is void.
+// read reads the engine until no order is in progress. No order is sent meanwhile, since operations planned on an
+// uncertain state are void.
 func (w *worker) read() {
-	w.adapters.Lock()
-	defer w.adapters.Unlock()
-	if !w.unsure() || !pause.For(w.ctx, clock.Until(w.lastAnswered().Add(w.h.params.ReportLag))) {
+	w.adapterMu.Lock()
+	defer w.adapterMu.Unlock()
+	if !w.readNeeded() || !pause.For(w.ctx, clock.Until(w.waitForOrders().Add(w.h.params.ReportLag))) {
 		return
 	}
-	for range readTries {
+	for range maxReadAttempts {
 		report, err := w.report()
 		if err == nil && !report.Busy {
 			w.h.mu.Lock()
@@ -283,7 +277,7 @@
 		w.h.mu.Lock()
 		if err == nil {
 			w.h.fleet.BusyElsewhere(w.engine, clock.Now())
-		} else { // what it holds is not known, so requests go elsewhere
+		} else { // its models are not known, so requests are sent elsewhere
 			w.h.fleet.Unreachable(w.engine, clock.Now())
 		}
 		w.h.mu.Unlock()
@@ -296,14 +290,14 @@
 func (w *worker) report() (serving.Report, error) {
 	server, live := w.h.dir.Server(w.engine)
 	if !live {
-		return serving.Report{}, errors.Wrap(errEngine, "the engine is gone")
+		return serving.Report{}, errors.Wrap(errEngine, "engine is not in the directory")
 	}
 	ctx, cancel := context.WithTimeout(w.ctx, w.h.params.Lease.Transit)
 	defer cancel()
 	w.h.counts.reports.Inc()
 	report, err := w.h.engines.Report(ctx, server)
 	if err == nil && !server.SameLife(report.Born) {
-		return report, errors.Wrap(errEngine, "the report is of another process under the engine's id")
+		return report, errors.Wrap(errEngine, "report is from another process with the same engine id")
 	}
 	return report, err
 }
