--- a/directory/born_test.go
+++ b/directory/born_test.go
@@ -7,9 +7,9 @@
 	"github.com/martenport/martenport/store"
 )
 
-// TestBornAgain: a server that starts again under its id is another process: what was known
-// of the one before, and what is still said of it, counts no more.
-func TestBornAgain(t *testing.T) {
+// TestServerRestartsUnderSameID: a server that restarts under its id is a new process. What was known of the earlier
+// process, and late messages about it, must not apply to the new one.
+func TestServerRestartsUnderSameID(t *testing.T) {
 	at := func(born int64, revision store.Revision, draining bool) serving.Server {
 		return serving.Server{ID: "e", Service: "s", Born: born, Revision: revision, Draining: draining}
 	}
@@ -23,36 +23,36 @@
 	d.ApplyViews(1, view(10), nil, start)
 	d.ApplyServer(at(10, 2, true), start)
 	if offered(d) {
-		t.Fatal("a draining server is offered")
+		t.Fatal("draining server is offered")
 	}
 	before := d.Digest()
 	d.ApplyServer(at(20, 3, false), start)
 	if s, _ := d.Server("e"); s.Draining || s.Born != 20 {
-		t.Errorf("%+v, want the new process, which does not drain", s)
+		t.Errorf("got %+v, want the new process, which is not draining", s)
 	}
 	if offered(d) {
-		t.Error("offered for what the process before held")
+		t.Error("offered for a unit that the earlier process had")
 	}
 	if d.Digest() == before {
-		t.Error("the same digest as before")
+		t.Error("digest did not change with the process")
 	}
 	d.ApplyViews(1, view(10), nil, start)
 	if offered(d) {
-		t.Error("offered by word of the process before")
+		t.Error("offered because of a view of the earlier process")
 	}
 	d.ApplyServer(at(10, 4, true), start)
 	if s, _ := d.Server("e"); s.Born != 20 || s.Draining {
-		t.Errorf("%+v by a late entry of the process before", s)
+		t.Errorf("got %+v after a late entry of the earlier process", s)
 	}
 	d.ApplyViews(1, view(20), nil, start)
 	if !offered(d) {
-		t.Error("not offered for what the new process holds")
+		t.Error("not offered for a unit that the new process has")
 	}
 	d.RemoveServer("e", 5, start)
 	d.ApplyServer(at(20, 6, true), start)
 	d.RemoveServer("e", 7, start)
 	d.ApplyServer(at(30, 8, false), start)
 	if s, known := d.Server("e"); !known || s.Draining {
-		t.Errorf("%+v, %v: a process after one that drained and left", s, known)
+		t.Errorf("got %+v, known %v, for a process that follows one that drained and left", s, known)
 	}
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory is what an entry instance knows: the configuration in
-// force, the backend servers, and what the holder says is loaded on engines.
-// All methods are safe for concurrent use; there is one lock.
+// Package directory holds what an entry instance knows of the system: the configuration in force, the backend
+// servers, and the models that are loaded on engines according to the holder. All methods are safe for concurrent
+// use; there is one lock.
 package directory
 
 import (
@@ -13,54 +13,54 @@
 	"github.com/martenport/martenport/store"
 )
 
-// Directory is the knowledge of one instance.
+// Directory is the state of the system as known to one instance.
 type Directory struct {
 	mu     sync.RWMutex
 	config *serving.Config // guarded by mu
-	// asOf is when it was sure that there was no newer configuration; guarded by mu.
-	asOf    time.Time
-	servers map[string]serving.Server // live and draining ones by id; guarded by mu
-	// draining are servers that were seen draining, by id, which lasts to the end of
-	// their process whatever an older page says.
-	draining map[string]drain // guarded by mu
-	// removed are the revisions at which entries were found to be gone. Only a
-	// newer announcement brings a server back.
+	// confirmedAt is the last time at which there was certainly no newer configuration; guarded by mu.
+	confirmedAt time.Time
+	servers     map[string]serving.Server // live and draining ones by id; guarded by mu
+	// draining holds the servers that were seen draining, by id. A process stays draining until it ends, even if an
+	// older entry states otherwise.
+	draining map[string]drainRecord // guarded by mu
+	// removed holds, by id, the revisions at which entries were found to be removed. Only a newer announcement adds a
+	// server again.
 	removed map[string]removal    // guarded by mu
 	views   map[string]EngineView // by engine id; guarded by mu
-	// lacks is until when an engine is not offered for a unit that it said it does
-	// not have, though it should; guarded by mu.
-	lacks map[string]map[serving.Unit]time.Time
-	// viewsFrom is the fencing token of the holder that the views are from.
-	viewsFrom int64 // guarded by mu
-	// heard is when the holder last said anything, spacing how long after the time
-	// before; guarded by mu.
-	heard   time.Time
-	spacing time.Duration
-	// others is how many requests of other instances run on each engine;
-	// guarded by mu.
-	others map[string]int
-	// admit is the share of deferrable requests to admit, by model; guarded by mu.
-	admit map[string]float64
-	// change counts the changes of servers, changed has the last one of each
-	// id, and revision is the store's up to which they are known; guarded by mu.
-	change   uint64
-	changed  map[string]uint64
-	revision store.Revision
-	// era is the store's, known since eraBegan; guarded by mu.
+	// missingUnits is the time until which an engine is not offered for a unit, because it reported that it does not
+	// have the unit although it should; guarded by mu.
+	missingUnits map[string]map[serving.Unit]time.Time
+	// viewsFence is the fencing token of the holder that sent the views.
+	viewsFence int64 // guarded by mu
+	// lastUpdate is when the holder's last update was received, and updateInterval the time between the last two
+	// updates; guarded by mu.
+	lastUpdate     time.Time
+	updateInterval time.Duration
+	// otherInstancesLoads is the number of running requests of other instances on each engine; guarded by mu.
+	otherInstancesLoads map[string]int
+	// admissionShares is the share of deferrable requests to admit, by model; guarded by mu.
+	admissionShares map[string]float64
+	// lastChange counts the changes of servers, changeOf is the last change of each id, and revision is the store
+	// revision up to which the servers are known; guarded by mu.
+	lastChange uint64
+	changeOf   map[string]uint64
+	revision   store.Revision
+	// era is the store's era, known here since eraBegan; guarded by mu.
 	era      int64
 	eraBegan time.Time
-	// noticed is since when it is noticed here which servers are gone, see Complete;
-	// zero before the first listing; guarded by mu.
-	noticed time.Time
-	// digest sums up the servers, see Digest; guarded by mu.
+	// removalsKnownSince is the time from which this directory has followed the removal of servers, see Complete. It
+	// is zero before the first listing; guarded by mu.
+	removalsKnownSince time.Time
+	// digest is the digest of the servers, see Digest; guarded by mu.
 	digest uint64
 }
 
-// drain is when the process born then was seen draining. said: by an answer of its own.
-type drain struct {
-	at   time.Time
-	born int64
-	said bool
+// drainRecord states that the process that started at born was seen draining at at. announced is set if the process
+// stated it in a response.
+type drainRecord struct {
+	at        time.Time
+	born      int64
+	announced bool
 }
 
 type removal struct {
@@ -68,11 +68,10 @@
 	at       time.Time
 }
 
-// New returns an empty directory.
 func New() *Directory {
 	return &Directory{
-		servers: map[string]serving.Server{}, draining: map[string]drain{}, removed: map[string]removal{},
-		views: map[string]EngineView{}, lacks: map[string]map[serving.Unit]time.Time{}, changed: map[string]uint64{},
+		servers: map[string]serving.Server{}, draining: map[string]drainRecord{}, removed: map[string]removal{},
+		views: map[string]EngineView{}, missingUnits: map[string]map[serving.Unit]time.Time{}, changeOf: map[string]uint64{},
 	}
 }
 
@@ -83,8 +82,7 @@
 	return d.config
 }
 
-// ApplyConfig takes a configuration over if it is newer than the one in force
-// and reports whether it was.
+// ApplyConfig replaces the configuration in force if c is newer, and reports whether it was.
 func (d *Directory) ApplyConfig(c *serving.Config) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,32 +93,31 @@
 	return true
 }
 
-// Current returns the configuration in force, and when it was sure that there was no newer one:
-// the zero time if it never was.
-func (d *Directory) Current() (config *serving.Config, asOf time.Time) {
+// Current returns the configuration in force and the last time at which there was certainly no newer one, or the
+// zero time if that is not known.
+func (d *Directory) Current() (config *serving.Config, confirmedAt time.Time) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return d.config, d.asOf
+	return d.config, d.confirmedAt
 }
 
-// Confirm notes that no configuration newer than version had been accepted at a time. That
-// tells nothing while the one in force is older.
-func (d *Directory) Confirm(version int64, asOf time.Time) {
+// Confirm records that no configuration newer than version had been accepted at confirmedAt. It has no effect
+// while the configuration in force is older than version.
+func (d *Directory) Confirm(version int64, confirmedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.config != nil && d.config.Version >= version && asOf.After(d.asOf) {
-		d.asOf = asOf
+	if d.config != nil && d.config.Version >= version && confirmedAt.After(d.confirmedAt) {
+		d.confirmedAt = confirmedAt
 	}
 }
 
-// ApplyServer takes over what a server announces and reports whether it is now
-// known to be draining for the first time. Older announcements are ignored, and those of a
-// process before the one that is known.
-func (d *Directory) ApplyServer(s serving.Server, now time.Time) (leaves bool) {
+// ApplyServer processes the announcement of a server and reports whether the server is now known to be draining for
+// the first time. Older announcements and those of an earlier process are ignored.
+func (d *Directory) ApplyServer(s serving.Server, now time.Time) (newlyDraining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.noteEra(s.Revision, now)
-	if gone, removed := d.removed[s.ID]; removed && (s.Revision <= gone.revision || d.mayBeCopied(s.Revision, gone, now)) {
+	d.observeEra(s.Revision, now)
+	if lastRemoval, removed := d.removed[s.ID]; removed && (s.Revision <= lastRemoval.revision || d.mayBeRestored(s.Revision, lastRemoval, now)) {
 		return false
 	}
 	known, found := d.servers[s.ID]
@@ -132,32 +129,31 @@
 	}
 	if found && known.Before(s) {
 		delete(d.views, s.ID)
-		delete(d.lacks, s.ID)
+		delete(d.missingUnits, s.ID)
 	}
 	delete(d.removed, s.ID)
-	drained, drains := d.draining[s.ID]
-	if drains && serving.BornBefore(drained.born, s.Born) {
+	record, draining := d.draining[s.ID]
+	if draining && serving.BornBefore(record.born, s.Born) {
 		delete(d.draining, s.ID)
-		drains = false
+		draining = false
 	}
-	if s.Draining && !drains {
-		d.draining[s.ID] = drain{at: now, born: s.Born}
-		leaves = true
+	if s.Draining && !draining {
+		d.draining[s.ID] = drainRecord{at: now, born: s.Born}
+		newlyDraining = true
 	}
-	s.Draining = s.Draining || drains
+	s.Draining = s.Draining || draining
 	d.servers[s.ID] = s
 	if found {
 		d.digest ^= digestOf(known)
 	}
 	d.digest ^= digestOf(s)
-	if !found || !routesAlike(known, s) {
-		d.touch(s.ID)
+	if !found || !sameRouting(known, s) {
+		d.markChanged(s.ID)
 	}
-	return leaves
+	return newlyDraining
 }
 
-// RemoveServer forgets a server whose entry is gone as of revision and reports
-// whether it was known.
+// RemoveServer removes a server whose entry did not exist at revision and reports whether the server was known.
 func (d *Directory) RemoveServer(id string, revision store.Revision, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -169,17 +165,17 @@
 	d.removed[id] = removal{revision: max(revision, before.revision), at: now}
 	delete(d.servers, id)
 	delete(d.views, id)
-	delete(d.lacks, id)
+	delete(d.missingUnits, id)
 	if found {
 		d.digest ^= digestOf(known)
 	}
 	if found || removed && before.revision.Era() < revision.Era() {
-		d.touch(id)
+		d.markChanged(id)
 	}
 	return found
 }
 
-// Drained reports whether a server was seen draining, also after it is gone.
+// Drained reports whether a server was seen draining, also after it has been removed.
 func (d *Directory) Drained(id string) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -187,7 +183,7 @@
 	return drained
 }
 
-// IDs returns the ids of all known servers.
+// IDs returns the sorted ids of all known servers.
 func (d *Directory) IDs() []string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -202,15 +198,14 @@
 	return s, found
 }
 
-// All returns all known servers in the order of ids.
+// All returns all known servers, sorted by id.
 func (d *Directory) All() []serving.Server {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return slices.SortedFunc(maps.Values(d.servers), byID)
 }
 
-// Servers returns the servers of a service that are not draining, in the order
-// of ids.
+// Servers returns the servers of a service that are not draining, sorted by id.
 func (d *Directory) Servers(service string) []serving.Server {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -231,23 +226,23 @@
 	return 1
 }
 
-// leftRetention is how long the ids of servers that left are remembered: far
-// longer than any page of the store can be late.
-const leftRetention = 10 * time.Minute
+// removedRetention is how long the ids of removed servers are remembered. It is far longer than any page of the
+// store can be late.
+const removedRetention = 10 * time.Minute
 
-// Sweep forgets servers that left long ago.
+// Sweep drops the records of servers that were removed longer than removedRetention ago.
 func (d *Directory) Sweep(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	maps.DeleteFunc(d.removed, func(id string, r removal) bool {
-		old := now.Sub(r.at) > leftRetention
+		old := now.Sub(r.at) > removedRetention
 		if _, live := d.servers[id]; old && !live {
-			delete(d.changed, id)
+			delete(d.changeOf, id)
 		}
 		return old
 	})
-	maps.DeleteFunc(d.draining, func(id string, drained drain) bool {
+	maps.DeleteFunc(d.draining, func(id string, drained drainRecord) bool {
 		_, live := d.servers[id]
-		return !live && now.Sub(drained.at) > leftRetention
+		return !live && now.Sub(drained.at) > removedRetention
 	})
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -16,50 +16,50 @@
 	return serving.Server{ID: id, Service: "s", Address: "a", Revision: revision, Draining: draining}
 }
 
-// TestOlderPages: what is older than what is known changes nothing, and a
-// draining server stays so whatever an older page says.
-func TestOlderPages(t *testing.T) {
+// TestOlderRevisionsIgnored guards against late pages of the store: an older revision changes nothing, and a
+// draining server stays draining.
+func TestOlderRevisionsIgnored(t *testing.T) {
 	d := New()
 	d.ApplyServer(server("x", 5, true), start)
 	d.ApplyServer(server("x", 4, false), start)
 	if got := d.Servers("s"); len(got) != 0 {
-		t.Errorf("a draining server is offered: %v", got)
+		t.Errorf("draining server is offered: %v", got)
 	}
 	d.ApplyServer(server("x", 6, false), start)
 	if got := d.Servers("s"); len(got) != 0 {
-		t.Error("a server that was draining is offered again")
+		t.Error("draining server is offered again")
 	}
 	d.RemoveServer("x", 7, start)
 	d.ApplyServer(server("x", 6, false), start)
 	if _, known := d.Server("x"); known {
-		t.Error("an older page brings a removed server back")
+		t.Error("older page added a removed server again")
 	}
 	d.ApplyServer(server("y", 8, false), start)
 	d.RemoveServer("y", 7, start)
 	if _, known := d.Server("y"); !known {
-		t.Error("a removal that is older than the announcement was applied")
+		t.Error("removal older than the announcement was applied")
 	}
 	d.RemoveServer("y", 9, start)
 	d.ApplyServer(server("y", 10, false), start)
 	if got := d.Servers("s"); len(got) != 1 {
-		t.Error("a server whose entry had lapsed is not used when it is back")
+		t.Error("server not offered after its lapsed entry was written again")
 	}
 }
 
-// TestConfigurationNeverReverts by whatever comes later.
+// TestConfigurationNeverReverts: an older or equal version never replaces the configuration in force.
 func TestConfigurationNeverReverts(t *testing.T) {
 	d := New()
 	if !d.ApplyConfig(&serving.Config{Version: 7}) || d.ApplyConfig(&serving.Config{Version: 7}) || d.ApplyConfig(&serving.Config{Version: 4}) {
-		t.Error("a version that is not newer was taken over")
+		t.Error("applied a version that is not newer")
 	}
 	if d.Config().Version != 7 {
 		t.Errorf("version %d in force", d.Config().Version)
 	}
 }
 
-// TestRelayBringsAll: whatever happens at one directory, another that takes its
-// deltas knows the same servers in the end, from wherever it began.
-func TestRelayBringsAll(t *testing.T) {
+// TestRelayConverges applies random changes to one directory and relays its deltas to another, from any starting
+// point. In the end both must know the same servers.
+func TestRelayConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := New(), New()
 		revision, seen := store.Revision(0), uint64(0)
@@ -73,12 +73,12 @@
 				from.ApplyServer(server(id, revision, true), start)
 			case "remove":
 				from.RemoveServer(id, revision, start)
-			case "lapse": // found later than its revision says
+			case "lapse": // found later than at its revision
 				from.RemoveServer(id, revision-1, start)
 			case "come back":
 				revision = store.RevisionOf(revision.Era()+1, revision.Number()/2)
 				from.Listed(revision, start)
-			case "list": // the other one asks the store itself
+			case "list": // the other directory lists the store itself
 				from.Listed(revision, start)
 				for _, s := range from.All() {
 					to.ApplyServer(s, start)
@@ -97,11 +97,11 @@
 			}
 		}
 		to.ApplyDelta(from.Since(seen, to.Revision()), start)
-		if revision.Era() > 0 && from.Digest() != to.Digest() { // then all is asked for, until entries of before are gone
+		if revision.Era() > 0 && from.Digest() != to.Digest() { // then request a full delta after CopiedGrace
 			to.ApplyDelta(from.Since(0, Everything), start.Add(CopiedGrace))
 		}
 		if from.Digest() != to.Digest() {
-			t.Fatal("digests differ after everything was relayed")
+			t.Fatal("digests differ after all deltas were applied")
 		}
 		for _, id := range []string{"a", "b", "c", "d"} {
 			x, xKnown := from.Server(id)
@@ -113,9 +113,8 @@
 	})
 }
 
-// TestViewsOfOlderHolder: the word of a holder that has been succeeded is not
-// taken.
-func TestViewsOfOlderHolder(t *testing.T) {
+// TestViewsOfSupersededHolderIgnored: views of a holder with a lower fencing token must not be applied.
+func TestViewsOfSupersededHolderIgnored(t *testing.T) {
 	d := New()
 	d.ApplyServer(serving.Server{ID: "e", Service: "s", Revision: 1}, start)
 	unit := serving.Unit{Model: "m"}
@@ -123,18 +122,17 @@
 	d.ApplyViews(2, []EngineView{{Engine: "e"}}, nil, start)
 	d.ApplyViews(1, view, nil, start)
 	if got := d.Replicas("s", unit, start); len(got) != 0 {
-		t.Errorf("replicas %v by the word of an older holder", got)
+		t.Errorf("replicas %v from a view of a superseded holder", got)
 	}
 	d.ApplyViews(2, view, nil, start)
 	if got := d.Replicas("s", unit, start); len(got) != 1 {
-		t.Errorf("replicas %v, want the one of the view", got)
+		t.Errorf("replicas %v, want the one in the view", got)
 	}
 }
 
-// TestRelayFindsDifference: an instance that saw an entry lapse, while the holder
-// did not, misses the server when its entry is back: the holder has nothing to
-// tell, since nothing has changed for it. The digests show that, and a full delta
-// ends it. The same for a server that only the other instance still knows.
+// TestRelayFindsDifference: an instance saw an entry lapse while the holder did not. When the entry is written
+// again, nothing has changed for the holder, so its deltas never contain the server. The digests must differ, and a
+// full delta must repair the difference. The same holds for a server that only the other instance still knows.
 func TestRelayFindsDifference(t *testing.T) {
 	holder, other := New(), New()
 	holder.ApplyServer(server("x", 1, false), start)
@@ -144,12 +142,12 @@
 	other.ApplyServer(server("gone", 3, false), start)
 	other.Listed(3, start)
 	seen := holder.Since(0, other.Revision()).Change
-	holder.ApplyServer(server("x", 4, false), start) // the entry is back
-	holder.Listed(5, start)                          // and the other server's is gone
+	holder.ApplyServer(server("x", 4, false), start) // the entry is written again
+	holder.Listed(5, start)                          // and that of the other server has been removed
 	delta := holder.Since(seen, other.Revision())
 	other.ApplyDelta(delta, start)
 	if delta.Digest == other.Digest() {
-		t.Fatal("the digests of directories that differ are the same")
+		t.Fatal("directories that differ have the same digest")
 	}
 	delta = holder.Since(seen, Everything)
 	gone := other.ApplyDelta(delta, start).Gone
@@ -165,9 +163,9 @@
 	}
 }
 
-// TestLacks: an engine that said that it does not have a unit is not offered for it
-// until the holder says something new of it, or for a second; for other units it is.
-func TestLacks(t *testing.T) {
+// TestEngineNotOfferedForMissingUnit: an engine that reported that it does not have a unit is not offered for it
+// until the holder sends a new view of the engine, or for one second. It is still offered for other units.
+func TestEngineNotOfferedForMissingUnit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New()
 	d.ApplyServer(serving.Server{ID: "e", Service: "llm", Revision: 1}, now)
@@ -177,23 +175,23 @@
 	offered := func(unit serving.Unit, at time.Time) bool { return len(d.Replicas("llm", unit, at)) > 0 }
 	d.Lacks("e", one, now)
 	if offered(one, now) || !offered(two, now) {
-		t.Errorf("offered for what it lacks: %v, for what it has: %v", offered(one, now), offered(two, now))
+		t.Errorf("offered for the missing unit: %v, for the other unit: %v", offered(one, now), offered(two, now))
 	}
-	if !offered(one, now.Add(lackLifetime)) {
-		t.Error("not offered any more at all")
+	if !offered(one, now.Add(missingUnitTTL)) {
+		t.Error("not offered after missingUnitTTL")
 	}
 	d.ApplyViews(1, nil, nil, now)
 	if offered(one, now) {
-		t.Error("offered again without news of the engine")
+		t.Error("offered again without a new view of the engine")
 	}
 	d.ApplyViews(1, view, nil, now)
 	if !offered(one, now) {
-		t.Error("not offered though the holder has said something new of it")
+		t.Error("not offered after a new view of the engine")
 	}
 }
 
-// TestComplete: a directory that was first listed a moment ago may lack servers whose
-// entries come back, and so may one that has taken over what another lacks.
+// TestComplete: a directory that was listed for the first time a moment ago may lack servers whose entries are
+// written again. So may a directory that has just removed servers because another one lacks them.
 func TestComplete(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New()
@@ -203,18 +201,18 @@
 	d.ApplyServer(serving.Server{ID: "a", Service: "llm", Revision: 1}, now)
 	d.Listed(1, now)
 	if d.Complete(now.Add(LapseGrace - time.Millisecond)) {
-		t.Error("complete while entries may come back")
+		t.Error("complete while lapsed entries may be written again")
 	}
 	now = now.Add(LapseGrace)
 	d.Listed(2, now)
 	if !d.Complete(now) {
-		t.Error("not complete though listed for long")
+		t.Error("not complete after LapseGrace")
 	}
 	d.ApplyDelta(Delta{Full: true, Revision: 3}, now)
 	if _, known := d.Server("a"); known || d.Complete(now) {
-		t.Errorf("server still known: %v, or complete by another's word", known)
+		t.Errorf("server still known: %v, or complete right after a full delta of another directory", known)
 	}
 	if !d.Complete(now.Add(LapseGrace)) {
-		t.Error("not complete though nothing came back")
+		t.Error("not complete although no entry was written again within LapseGrace")
 	}
 }
--- a/directory/views.go
+++ b/directory/views.go
@@ -7,130 +7,130 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// EngineView is what the holder says of one engine.
+// EngineView is the state of one engine according to the holder.
 type EngineView struct {
 	Engine string
-	// Born is when the engine that is meant was born, 0 if it does not say.
+	// Born is when the process of the engine started, 0 if it does not announce that.
 	Born int64
-	// Units are the models and adapters that get requests.
+	// Units are the models and adapters to which requests may be sent.
 	Units []UnitView
 }
 
-// UnitView is a unit on an engine.
+// UnitView is the state of a unit on an engine.
 type UnitView struct {
 	Unit serving.Unit
-	// Ready is when it is expected to serve; zero if it served when this was said.
+	// Ready is when the unit is expected to be ready; zero if it was ready when the view was made.
 	Ready time.Time
 }
 
-// Replica is a place where a unit is served.
+// Replica is a server on which a unit is ready or will be.
 type Replica struct {
 	Server serving.Server
-	// Ready is when it is expected to serve; zero if it served when last heard of.
+	// Ready is when the unit is expected to be ready; zero if it was ready at the last update.
 	Ready time.Time
-	// Others is how many requests of other instances run on the engine, as of Age ago.
+	// Others is the number of running requests of other instances on the engine, Age ago.
 	Others int
 	Age    time.Duration
 }
 
-// ApplyViews takes over what the holder with the given fencing token says: the
-// views that have changed, and how many requests of other instances run on each
-// engine. Engines that it does not name keep their views.
+// ApplyViews applies an update of the holder with the given fencing token: the views that have changed, and the
+// number of running requests of other instances on each engine. Engines without a new view keep theirs. Updates of
+// holders with lower tokens are ignored.
 func (d *Directory) ApplyViews(fence int64, views []EngineView, others map[string]int, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if fence < d.viewsFrom {
+	if fence < d.viewsFence {
 		return
 	}
-	if fence > d.viewsFrom {
+	if fence > d.viewsFence {
 		clear(d.views)
-		clear(d.lacks)
-		d.viewsFrom = fence
+		clear(d.missingUnits)
+		d.viewsFence = fence
 	}
-	d.spacing = min(viewLifetime, now.Sub(d.heard))
-	d.heard, d.others = now, others
+	d.updateInterval = min(viewTTL, now.Sub(d.lastUpdate))
+	d.lastUpdate, d.otherInstancesLoads = now, others
 	for _, v := range views {
 		if s, live := d.servers[v.Engine]; live && s.SameLife(v.Born) {
 			d.views[v.Engine] = v
-			delete(d.lacks, v.Engine)
+			delete(d.missingUnits, v.Engine)
 		}
 	}
 }
 
-// ApplyAdmissions takes over which share of deferrable requests to admit, by model; of
-// those that it does not name all are.
+// ApplyAdmissions sets the share of deferrable requests to admit, by model. All requests are admitted for models
+// that are not in the map.
 func (d *Directory) ApplyAdmissions(admit map[string]float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.admit = admit
+	d.admissionShares = admit
 }
 
-// Admit returns the share of a model's deferrable requests to admit: 1 if the holder has
-// not been heard for long.
+// Admit returns the share of a model's deferrable requests to admit: 1 if there was no update of the holder within
+// viewTTL.
 func (d *Directory) Admit(model string, now time.Time) float64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	share, named := d.admit[model]
-	if !named || now.Sub(d.heard) >= viewLifetime {
+	share, named := d.admissionShares[model]
+	if !named || now.Sub(d.lastUpdate) >= viewTTL {
 		return 1
 	}
 	return share
 }
 
-// lackLifetime is how long an engine's own word that it does not have a unit is taken:
-// longer than the holder's newer word is on its way, shorter than it takes the engine
-// to be restarted or to get the unit by an order of another holder.
-const lackLifetime = time.Second
+// missingUnitTTL is how long the report of an engine that it does not have a unit is used. It is longer than a newer
+// update of the holder takes to arrive, and shorter than a restart of the engine or a load ordered by another
+// holder.
+const missingUnitTTL = time.Second
 
-// Lacks notes that an engine said that it does not have a unit. Until the holder says
-// something new of the engine, it is not offered for the unit: each send would be
-// refused again, and is drawn from the budget of repeated ones.
+// Lacks records the report of an engine that it does not have a unit. The engine is not offered for the unit until
+// the holder sends a new view of the engine: each request sent would be refused again and would use the budget of
+// repeated sends.
 func (d *Directory) Lacks(id string, unit serving.Unit, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, live := d.servers[id]; !live {
 		return
 	}
-	if d.lacks[id] == nil {
-		d.lacks[id] = map[serving.Unit]time.Time{}
+	if d.missingUnits[id] == nil {
+		d.missingUnits[id] = map[serving.Unit]time.Time{}
 	}
-	d.lacks[id][unit] = now.Add(lackLifetime)
+	d.missingUnits[id][unit] = now.Add(missingUnitTTL)
 }
 
-// viewLifetime is how long the holder's word is taken without another: the
-// engine's own entry, a second or two old, is better then.
-const viewLifetime = 3 * time.Second
+// viewTTL is how long the holder's views are used without a further update. After that the engine's own entry, which
+// is one or two seconds old, is better.
+const viewTTL = 3 * time.Second
 
-// Replicas returns where a unit of a service is served or will be.
+// Replicas returns the servers on which a unit of a service is ready or will be, sorted by id.
 func (d *Directory) Replicas(service string, unit serving.Unit, now time.Time) []Replica {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	var found []Replica
-	fresh := now.Sub(d.heard) < viewLifetime
-	age := now.Sub(d.heard) + d.spacing/2 // instances report as often as they hear
+	fresh := now.Sub(d.lastUpdate) < viewTTL
+	age := now.Sub(d.lastUpdate) + d.updateInterval/2 // instances report as often as they receive updates
 	for _, s := range d.servers {
-		if s.Service != service || s.Draining || now.Before(d.lacks[s.ID][unit]) {
+		if s.Service != service || s.Draining || now.Before(d.missingUnits[s.ID][unit]) {
 			continue
 		}
 		view, viewed := d.views[s.ID]
 		if viewed && fresh {
 			for _, u := range view.Units {
 				if u.Unit == unit {
-					found = append(found, Replica{Server: s, Ready: u.Ready, Others: d.others[s.ID], Age: age})
+					found = append(found, Replica{Server: s, Ready: u.Ready, Others: d.otherInstancesLoads[s.ID], Age: age})
 				}
 			}
 			continue
 		}
 		if adapters, loaded := s.Models[unit.Model]; loaded && (unit.Adapter == "" || slices.Contains(adapters, unit.Adapter)) {
-			found = append(found, Replica{Server: s, Others: d.others[s.ID], Age: age})
+			found = append(found, Replica{Server: s, Others: d.otherInstancesLoads[s.ID], Age: age})
 		}
 	}
 	slices.SortFunc(found, func(a, b Replica) int { return byID(a.Server, b.Server) })
 	return found
 }
 
-// UnitsOn returns the units that an engine serves or will, by the holder's word or,
-// without that, by what the engine announced.
+// UnitsOn returns the units that are or will be ready on an engine: according to the holder's view or, without one,
+// the engine's announcement.
 func (d *Directory) UnitsOn(id string) []serving.Unit {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
