--- a/serving/advisory.go
+++ b/serving/advisory.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Advisory is what a backend server says of itself in the head of an answer, to a request, an order
-// or a call for its report.
+// Advisory is the state that a backend server reports in the headers of a response, to a request, an order or a call
+// for its report.
 type Advisory struct {
-	// Server that says it. Its process was Born then, as it announces; 0 if it does not.
+	// Server is the id of the reporting server. Born is when its process started, as announced; 0 if it is not
+	// announced.
 	Server string
 	Born   int64
-	// Sent is when the request that it answers was sent, and Heard when the answer's head was
-	// read: answers overtake each other on their way.
+	// Sent is when the request was sent and Heard when the headers of its response were read. Responses may arrive
+	// out of order.
 	Sent, Heard time.Time
-	// Leaving: the server is about to end and should get nothing new.
+	// Leaving is set if the server is about to end and should get no new requests.
 	Leaving bool
-	// Limited: it takes Rate requests a second from all instances together.
+	// Limited is set if the server accepts at most Rate requests per second from all instances together.
 	Limited bool
 	Rate    float64
-	// RetryAfter is for how long it wants nothing from this instance; 0 if it does not say.
+	// RetryAfter is how long the server wants no requests from this instance; 0 if it does not state that.
 	RetryAfter time.Duration
-	// Unreadable has what could not be read, "" if all could. Of a limit that cannot be read
-	// the advisory says nothing, neither that there is one nor that there is none.
+	// Unreadable lists what could not be parsed, "" if everything could. LimitUnknown is set if the advisory does not
+	// state whether there is a limit, for example because the limit could not be parsed.
 	Unreadable   string
 	LimitUnknown bool
 }
--- a/serving/fingerprint_test.go
+++ b/serving/fingerprint_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestFingerprint: tries of one request are alike whatever their ids, and others are not.
+// TestFingerprint: attempts of one request have the same fingerprint whatever their ids; different requests have
+// different ones.
 func TestFingerprint(t *testing.T) {
 	request := func(change func(*Request)) *Request {
 		r := &Request{ID: "1", Method: "POST", Host: "h.example", Target: "/a/b?q=1", Body: []byte("body")}
@@ -17,7 +18,7 @@
 	}
 	for what, got := range same {
 		if got != first {
-			t.Errorf("%s: another fingerprint", what)
+			t.Errorf("%s: different fingerprint, want the same", what)
 		}
 	}
 	others := map[string]Fingerprint{
@@ -32,7 +33,7 @@
 	seen := map[Fingerprint]string{first: "the first"}
 	for what, got := range others {
 		if before, known := seen[got]; known {
-			t.Errorf("%s: the same fingerprint as %s", what, before)
+			t.Errorf("%s: same fingerprint as %s, want a different one", what, before)
 		}
 		seen[got] = what
 	}
--- a/serving/order.go
+++ b/serving/order.go
@@ -6,12 +6,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrOrderUnknown: the answer to an order was lost. The order may have been
-// carried out, or may be later if the engine's sequence still is the expected
-// one.
+// ErrOrderUnknown is returned if the response to an order was lost. The order may have been executed, or may be
+// executed later as long as the engine's sequence number is the expected one.
 var ErrOrderUnknown = errors.New("serving: order not answered, may be carried out")
 
-// ErrOrderNotSent: no connection was had, so the engine has not got the order.
+// ErrOrderNotSent is returned if no connection could be made, so the engine has not received the order.
 var ErrOrderNotSent = errors.New("serving: order not sent")
 
 // Order asks an engine to load or unload a unit.
@@ -19,46 +18,45 @@
 	Server Server
 	Unit   Unit
 	Unload bool
-	// Expect is the engine's sequence that the order was decided on; with any
-	// other one the engine refuses it, also when it arrives late.
+	// Expect is the engine's sequence number on which the order was decided. The engine refuses the order at any
+	// other sequence number, also if the order arrives late.
 	Expect int64
-	// Holder is the instance that orders and Fence its fencing token.
+	// Holder is the instance that sends the order and Fence its fencing token.
 	Holder string
 	Fence  int64
 }
 
-// OrderAnswer is an engine's answer to an order.
+// OrderAnswer is an engine's response to an order.
 type OrderAnswer int
 
-// The answers.
+// The responses to an order.
 const (
-	// OrderAccepted: the order is being carried out.
+	// OrderAccepted: the engine is executing the order.
 	OrderAccepted OrderAnswer = iota + 1
-	// OrderHolds: what was ordered holds now.
+	// OrderHolds: the engine already has the requested state.
 	OrderHolds
-	// OrderConflict: another order is under way, or the sequence differs.
+	// OrderConflict: another order is in progress, or the sequence number differs.
 	OrderConflict
 	// OrderFenced: the engine has seen a higher fencing token.
 	OrderFenced
-	// OrderRefused: the engine is another one, or will not do this.
+	// OrderRefused: the address belongs to another engine, or the engine rejects the order.
 	OrderRefused
 )
 
-// String names the answer for logs.
+// String returns the name of the response for logs.
 func (a OrderAnswer) String() string {
 	return [...]string{"unknown", "accepted", "holds", "conflict", "fenced", "refused"}[a]
 }
 
-// Report is an engine's account of itself, some hundred milliseconds old.
+// Report is the state of an engine as reported by itself, some hundred milliseconds old.
 type Report struct {
-	// Born is when the engine started, in milliseconds of the Unix epoch; 0 if it does not
-	// say.
+	// Born is when the engine's process started, in Unix milliseconds; 0 if it is not reported.
 	Born int64
 	// Models maps each loaded model to its adapters.
 	Models map[string][]string
-	// Pending are adapters on their way to the engine.
+	// Pending are the adapters that are being loaded onto the engine.
 	Pending []Unit
-	// Busy: an order is under way.
+	// Busy is set if an order is in progress.
 	Busy            bool
 	Sequence        int64
 	Queued, Running int
@@ -66,10 +64,10 @@
 	Tiers           map[string]Tier
 }
 
-// Engines carries orders to engines and reads their reports.
+// Engines sends orders to engines and reads their reports.
 type Engines interface {
-	// Order sends o once. Without an answer the error is ErrOrderUnknown, or
-	// ErrOrderNotSent if the engine cannot have got it.
+	// Order sends o once. If there is no response, the error is ErrOrderNotSent if the engine cannot have received
+	// the order, else ErrOrderUnknown.
 	Order(ctx context.Context, o Order) (OrderAnswer, error)
 	Report(ctx context.Context, s Server) (Report, error)
 }
--- a/serving/presence.go
+++ b/serving/presence.go
@@ -1,21 +1,21 @@
 package serving
 
-// Presence says whether a backend server's process still runs.
+// Presence states whether a backend server's process is running.
 type Presence int
 
-// The presences.
+// The values of Presence.
 const (
-	// PresenceUnknown: it did not answer, which a cut link or a frozen machine does too.
+	// PresenceUnknown: the server did not answer. It may have ended, be partitioned, or its machine may be frozen.
 	PresenceUnknown Presence = iota
-	// PresenceConnects: something takes connections at its address.
+	// PresenceConnects: a process accepts connections at the server's address.
 	PresenceConnects
-	// PresenceThere: it answers.
+	// PresenceThere: the server answers.
 	PresenceThere
-	// PresenceEnded: nothing listens at its address, or another process does.
+	// PresenceEnded: nothing listens at the server's address, or another process does.
 	PresenceEnded
 )
 
-// String names the presence for logs.
+// String returns the name of the presence for logs.
 func (p Presence) String() string {
 	return [...]string{"unknown", "connects", "there", "ended"}[p]
 }
--- a/serving/request.go
+++ b/serving/request.go
@@ -9,35 +9,34 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// Request is one request of a client, read whole.
+// Request is a request of a client, with its complete body.
 type Request struct {
-	// ID is the client's own, unique to this try.
+	// ID is set by the client and unique to this attempt.
 	ID string
-	// Method, Host and Target (path and query) are passed on unchanged.
+	// Method, Host and Target (path and query) are forwarded unchanged.
 	Method, Host, Target string
-	// Header holds what is passed on: neither what concerns one connection
-	// nor what is the system's to set.
+	// Header holds the headers that are forwarded: neither connection headers nor headers that the system sets.
 	Header http.Header
 	Body   []byte
-	// Fingerprint names what is asked for, over all tries.
+	// Fingerprint identifies the content of the request over all attempts.
 	Fingerprint Fingerprint
-	// Unit is what a generation needs on its engine; empty for other requests.
+	// Unit is the unit that the request needs on its engine; empty if it needs none.
 	Unit Unit
-	// PromptParts identify the parts of the prompt, shared ones first.
+	// PromptParts identify the parts of the prompt, shared parts first.
 	PromptParts []string
-	// PromptTokens and OutputTokens are the sizes that the client announced. Sized: it did;
-	// BadSize: in a way that cannot be read.
+	// PromptTokens and OutputTokens are the numbers of tokens that the client announced. Sized is set if it announced
+	// them, and BadSize if the announcement could not be parsed.
 	PromptTokens, OutputTokens int
 	Sized, BadSize             bool
-	// Credential shows whose the request is.
+	// Credential identifies the workspace of the request.
 	Credential Credential
 	// Arrived is when the request had been read.
 	Arrived time.Time
-	// Timeout is how long the client waits from then on; 0 when it did not say.
+	// Timeout is how long the client waits after Arrived; 0 if it did not state that.
 	Timeout time.Duration
 }
 
-// Path is Target without its query.
+// Path returns Target without its query.
 func (r *Request) Path() string {
 	for i := range len(r.Target) {
 		if r.Target[i] == '?' {
@@ -51,48 +50,47 @@
 type Attempt struct {
 	Request *Request
 	Server  Server
-	// Left is how long the server may work on it.
+	// Left is the time that the server has for the request.
 	Left time.Duration
-	// Urgency ranks it at an engine, 0 first.
+	// Urgency is the rank of the attempt at an engine; 0 is the most urgent.
 	Urgency int
-	// ResumeAfter is the last event that the client has, "" to begin.
+	// ResumeAfter is the last event that the client has received, "" to start from the beginning.
 	ResumeAfter string
-	// Guarded: requests are sent with keys, which servers are not told.
+	// Guarded is set if requests carry keys. Keys are not forwarded to servers.
 	Guarded bool
-	// Workspace is whose the request is; "" if it needs no key.
+	// Workspace is the workspace of the request; "" if it needs no key.
 	Workspace string
 }
 
-// Response is a backend server's answer to an Attempt.
+// Response is a backend server's response to an Attempt.
 type Response struct {
 	Status int
-	// Header holds what is passed on to the client.
+	// Header holds the headers that are forwarded to the client.
 	Header http.Header
-	// Body must be closed. It fails when the answer breaks off.
+	// Body must be closed. Reading fails if the response is cut off.
 	Body io.ReadCloser
-	// NotRun is the server's own word that the request did not run.
+	// NotRun is set if the server stated that the request did not run.
 	NotRun bool
-	// Misdirected: the address belongs to another server by now, or what the
-	// request needs is not loaded.
+	// Misdirected is set if the address belongs to another server by now, or the unit that the request needs is not
+	// loaded.
 	Misdirected bool
-	// Events: the body is a series of events.
+	// Events is set if the body is a stream of events.
 	Events bool
-	// Rests: the server turns the request away and asks for a time without any.
+	// Rests is set if the server rejected the request and asked for a pause without requests.
 	Rests bool
 }
 
 // Sender sends attempts to backend servers.
 type Sender interface {
-	// Send returns the answer's head. Its error is a *verdict.Failure: NotRun
-	// if the server cannot have read the request, else MayHaveRun. Ending ctx
-	// ends the attempt, also while the body is read.
+	// Send returns the response once its headers have been read. The error is a *verdict.Failure: NotRun if the
+	// server cannot have read the request, else MayHaveRun. Cancelling ctx ends the attempt, also while the body is
+	// read.
 	Send(ctx context.Context, a Attempt) (*Response, error)
 }
 
 // Handler answers clients' requests.
 type Handler interface {
-	// Serve writes the answer to w, or returns why there is none; it then has
-	// written nothing, unless Broken is set in the failure's reason
-	// (verdict.ReasonBroken), after which the connection must be closed.
+	// Serve writes the response to w, or returns the reason why there is none. In that case it has written nothing,
+	// unless the failure's reason is verdict.ReasonBroken; the connection must then be closed.
 	Serve(ctx context.Context, r *Request, w http.ResponseWriter) *verdict.Failure
 }
--- a/serving/server.go
+++ b/serving/server.go
@@ -6,54 +6,54 @@
 	"github.com/martenport/martenport/store"
 )
 
-// Server is a backend server as it announces itself.
+// Server is a backend server as announced by itself.
 type Server struct {
 	ID, Service, Address string
-	// Born is when its process started, in milliseconds of the Unix epoch; 0 if it does not
-	// say. A process that starts again may bear the ID that the one before had.
+	// Born is when the server's process started, in Unix milliseconds; 0 if it is not announced. A restarted process
+	// may have the same ID as its predecessor.
 	Born int64
-	// Version of its software.
+	// Version is the version of the server's software.
 	Version string
-	// Revision is the store's revision of this announcement.
+	// Revision is the store revision of this announcement.
 	Revision      store.Revision
 	FailureDomain string
 	Slots         int
-	// Draining servers get no new requests.
+	// Draining is set if the server should get no new requests.
 	Draining bool
-	// Remaining is how long a server that was reclaimed at short notice still
-	// runs; 0 when that is not known.
+	// Remaining is how long a server that was reclaimed at short notice keeps running; 0 if that is not known.
 	Remaining time.Duration
 	// Models maps each resident model to its resident adapters.
 	Models map[string][]string
-	// Tiers says where other weights are cached on the engine.
+	// Tiers states where the weights of other models are cached on the engine.
 	Tiers map[string]Tier
 }
 
-// Before reports whether s is an earlier process than another that bears the same ID. It is
-// not if either does not say when it was born.
+// Before reports whether s is an earlier process than other, which has the same ID. It returns false if either start
+// time is not known.
 func (s Server) Before(other Server) bool {
 	return BornBefore(s.Born, other.Born)
 }
 
-// BornBefore reports whether a process that was born at a is earlier than one born at b.
+// BornBefore reports whether start time a is earlier than b. It returns false if either is 0, which means not known.
 func BornBefore(a, b int64) bool { return a != 0 && b != 0 && a < b }
 
-// SameLife reports whether a process that was born then may be the server's.
+// SameLife reports whether a process that started at born may be the process of s. It returns true if either start
+// time is not known.
 func (s Server) SameLife(born int64) bool {
 	return s.Born == 0 || born == 0 || s.Born == born
 }
 
-// Tier is where weights are cached, as seen from one engine.
+// Tier is the place where weights are cached, as seen from one engine.
 type Tier int
 
-// The tiers, from the slowest to load to the fastest.
+// The tiers, from the slowest to the fastest to load from.
 const (
 	TierRemote Tier = iota
 	TierDisk
 	TierMemory
 )
 
-// LoadTime is how long a load of the model takes from the tier.
+// LoadTime returns the duration of a load of the model from the tier.
 func (m Model) LoadTime(t Tier) time.Duration {
 	switch {
 	case t == TierMemory && m.MemoryLoad > 0:
@@ -65,8 +65,7 @@
 	}
 }
 
-// Unit names what a request needs on an engine: a model, or one of its
-// adapters.
+// Unit is a model or one of its adapters, which a request needs on an engine.
 type Unit struct {
 	Model string
 	// Adapter is empty for the model itself.
--- a/serving/wait.go
+++ b/serving/wait.go
@@ -1,24 +1,24 @@
 package serving
 
-// Wait says what a request waits for.
+// Wait is the reason why a request waits.
 type Wait string
 
-// What requests wait for.
+// The reasons to wait.
 const (
 	// WaitDisk: a load from an engine's own disk or memory.
 	WaitDisk Wait = "disk"
-	// WaitWeightStore: a load from the weight store, or a turn there.
+	// WaitWeightStore: a load from the weight store, or waiting for its capacity.
 	WaitWeightStore Wait = "weight_store"
-	// WaitCopies: all that could be evicted for the model is worth more, or in use.
+	// WaitCopies: all loaded models that could be evicted for the model have higher worth, or are in use.
 	WaitCopies Wait = "copies_in_use"
-	// WaitAdapter: an adapter of a model that is loaded.
+	// WaitAdapter: the load of an adapter whose model is loaded.
 	WaitAdapter Wait = "adapter"
-	// WaitHolder: no instance can be reached that orders loads.
+	// WaitHolder: no instance that orders loads can be reached.
 	WaitHolder Wait = "no_holder"
-	// WaitEngine: no engine can take the model, or none can be ordered now.
+	// WaitEngine: no engine can take the model, or no engine can be ordered now.
 	WaitEngine Wait = "no_engine"
-	// WaitTurn: the servers that have the model limit what they take, or rest.
+	// WaitTurn: the servers that have the model limit their requests or have asked for a pause.
 	WaitTurn Wait = "turn"
-	// WaitLoad: a load under way, whatever it is from.
+	// WaitLoad: a load in progress, from any source.
 	WaitLoad Wait = "load_under_way"
 )
--- a/serving/weight.go
+++ b/serving/weight.go
@@ -2,6 +2,6 @@
 
 import "math"
 
-// Weight is how much a request of a priority counts against one of priority 1. Routes
-// state a rank and no worth; each rank counts a third of the one before.
+// Weight returns the weight of a request with the given priority relative to one with priority 1. Routes state only
+// a rank and no weight; each rank counts a third of the rank above it.
 func Weight(priority int) float64 { return math.Pow(3, float64(1-priority)) }
--- a/serving/workspace.go
+++ b/serving/workspace.go
@@ -7,59 +7,58 @@
 	"github.com/cockroachdb/errors"
 )
 
-// KeyDigest stands for a key. Keys themselves are secrets, and are not kept.
+// KeyDigest is the digest of a key. The keys themselves are secret and are not stored.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// KeyForm says how a request bears its key.
+// KeyForm states how many keys a request carries.
 type KeyForm int
 
 // The forms of keys.
 const (
-	// KeyMissing: there is none.
+	// KeyMissing: the request carries no key.
 	KeyMissing KeyForm = iota
-	// KeyGiven: there is one.
+	// KeyGiven: the request carries one key.
 	KeyGiven
-	// KeyRepeated: there are several, and it cannot be told which is meant.
+	// KeyRepeated: the request carries several keys, so it is ambiguous which one applies.
 	KeyRepeated
 )
 
-// Credential is what a request bears to show whose it is.
+// Credential identifies the workspace of a request.
 type Credential struct {
 	Form KeyForm
-	// Digest of the key, where there is one.
+	// Digest is the digest of the key, if Form is KeyGiven.
 	Digest KeyDigest
 }
 
-// Workspace is whose requests are: each has keys of its own, a rank and a limit.
+// Workspace is an owner of requests, with its own keys and limit and optionally its own priority.
 type Workspace struct {
 	Name string
-	// Keys that its requests may bear.
+	// Keys are the digests of the keys of the workspace.
 	Keys []KeyDigest
-	// Ranked: its requests have its Priority and not that of their route.
+	// Ranked is set if requests of the workspace have its Priority instead of that of their route.
 	Ranked   bool
 	Priority int
 	Limit    Limit
 }
 
-// Limit bounds what a workspace asks for at all instances together.
+// Limit bounds the requests of a workspace at all instances together.
 type Limit struct {
-	// Tokens: requests count by their tokens, otherwise as one each.
+	// Tokens is set if requests are counted by their tokens; otherwise each request counts as one.
 	Tokens bool
-	// Rate is what is allowed a second, and Burst what may be saved up. There is no limit if
-	// Rate is 0.
+	// Rate is the allowed amount per second and Burst the amount that may accumulate. There is no limit if Rate is 0.
 	Rate, Burst float64
-	// Plain is what a request counts that does not say how many tokens it has.
+	// Plain is the cost of a request that does not announce its number of tokens.
 	Plain float64
 }
 
 // Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
-// Cost returns what a request counts against the limit. It fails if the request says how many
-// tokens it has in a way that cannot be read.
+// Cost returns the cost of a request against the limit. It fails if the announced number of tokens could not be
+// parsed.
 func (l Limit) Cost(r *Request) (float64, error) {
 	switch {
 	case !l.Tokens:
@@ -72,22 +71,22 @@
 	return float64(r.PromptTokens) + float64(r.OutputTokens), nil
 }
 
-// Guarded reports whether requests need a key, but for those of public routes.
+// Guarded reports whether requests need a key, except those of public routes.
 func (c *Config) Guarded() bool { return c.Workspaces != nil }
 
-// Limited reports whether a workspace has a limit.
+// Limited reports whether any workspace has a limit.
 func (c *Config) Limited() bool {
 	return slices.ContainsFunc(c.Workspaces, func(w Workspace) bool { return w.Limit.Limited() })
 }
 
-// WorkspaceOf returns the workspace that has a key, nil if none has.
+// WorkspaceOf returns the workspace with the given key, nil if there is none.
 func (c *Config) WorkspaceOf(key KeyDigest) *Workspace { return c.byKey[key] }
 
-// Workspace returns a workspace by its name, nil if there is none.
+// Workspace returns the workspace with the given name, nil if there is none.
 func (c *Config) Workspace(name string) *Workspace { return c.byName[name] }
 
-// indexWorkspaces prepares the configuration for Workspace and WorkspaceOf. It fails if two
-// workspaces cannot be told apart by their names and keys.
+// indexWorkspaces prepares the configuration for Workspace and WorkspaceOf. It fails if a workspace has no name or
+// an empty key, or if two workspaces share a name or a key.
 func (c *Config) indexWorkspaces() error {
 	empty := DigestKey("")
 	for i := range c.Workspaces {
