--- a/command/limits/limits_test.go
+++ b/command/limits/limits_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// world is engines that take orders late, and holders that follow each other and
-// know no more than the record and what engines report.
-type world struct {
+// cluster has engines that carry out orders late, and successive holders that know only the record and what engines
+// report.
+type cluster struct {
 	engines map[string]*engine
 	record  Record
 	limit   Limit
@@ -17,32 +17,32 @@
 type engine struct {
 	holds    bool
 	sequence int64
-	// pending are the sequences on which loads under way were decided.
+	// pending are the sequences on which the loads in progress were decided.
 	pending []int64
 }
 
-// arrive has a load under way be carried out, if its sequence is the engine's.
-func (e *engine) arrive(i int) {
-	decided := e.pending[i]
+// deliver carries out a load in progress if its sequence is the engine's.
+func (e *engine) deliver(i int) {
+	loadSequence := e.pending[i]
 	e.pending = append(e.pending[:i:i], e.pending[i+1:]...)
-	if decided == e.sequence {
+	if loadSequence == e.sequence {
 		e.sequence++
 		e.holds = true
 	}
 }
 
-// known is what a report says, which is always sure here.
-func (w *world) known(id string) Engine {
-	e, exists := w.engines[id]
+// known returns what an engine reports, which is always up to date here.
+func (c *cluster) known(id string) Engine {
+	e, exists := c.engines[id]
 	if !exists {
 		return Engine{}
 	}
-	return Engine{Exists: true, Sure: true, Holds: e.holds, Sequence: e.sequence}
+	return Engine{Exists: true, UpToDate: true, Holds: e.holds, Sequence: e.sequence}
 }
 
-func (w *world) replicas() int {
+func (c *cluster) replicas() int {
 	n := 0
-	for _, e := range w.engines {
+	for _, e := range c.engines {
 		if e.holds {
 			n++
 		}
@@ -50,34 +50,34 @@
 	return n
 }
 
-// TestReplicasStayWithinLimit: whatever loads are under way, late, lost or ordered
-// by holders that are gone, there are never more replicas than decided.
+// TestReplicasStayWithinLimit: there are never more replicas than the limit, even if loads are in progress, delayed,
+// lost, or were ordered by previous holders.
 func TestReplicasStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{engines: map[string]*engine{}, limit: Limit{Replicas: rapid.IntRange(0, 3).Draw(t, "limit")}}
+		c := &cluster{engines: map[string]*engine{}, limit: Limit{Replicas: rapid.IntRange(0, 3).Draw(t, "limit")}}
 		ids := []string{"a", "b", "c", "d", "e"}
 		for _, id := range ids {
-			w.engines[id] = &engine{}
+			c.engines[id] = &engine{}
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			id := rapid.SampledFrom(ids).Draw(t, "engine")
-			e := w.engines[id]
+			e := c.engines[id]
 			switch rapid.SampledFrom([]string{"load", "load", "arrive", "unload", "other order", "restart"}).Draw(t, "what") {
-			case "load": // the order is sent and its answer lost
+			case "load": // the order is sent and its answer is lost
 				var holders []string
 				for _, id := range ids {
-					if w.engines[id].holds {
+					if c.engines[id].holds {
 						holders = append(holders, id)
 					}
 				}
-				next, ok := w.record.Grant(w.limit, id, e.sequence, holders, w.known)
+				next, ok := c.record.Grant(c.limit, id, e.sequence, holders, c.known)
 				if ok {
-					w.record = next
+					c.record = next
 					e.pending = append(e.pending, e.sequence)
 				}
 			case "arrive":
 				if len(e.pending) > 0 {
-					e.arrive(rapid.IntRange(0, len(e.pending)-1).Draw(t, "which"))
+					e.deliver(rapid.IntRange(0, len(e.pending)-1).Draw(t, "which"))
 				}
 			case "unload":
 				if e.holds {
@@ -86,30 +86,31 @@
 				}
 			case "other order":
 				e.sequence++
-			case "restart": // empty, under another id; what was under way names the old one
-				delete(w.engines, id)
-				w.engines[id] = &engine{}
-				w.record.Engines = without(w.record.Engines, id)
+			case "restart": // restarts empty under another ID; loads in progress name the old one
+				delete(c.engines, id)
+				c.engines[id] = &engine{}
+				c.record.Engines = withoutEngine(c.record.Engines, id)
 			}
-			if n := w.replicas(); n > w.limit.Replicas {
-				t.Fatalf("%d replicas, %d decided; record %v", n, w.limit.Replicas, w.record.Engines)
+			if n := c.replicas(); n > c.limit.Replicas {
+				t.Fatalf("%d replicas, limit %d; record %v", n, c.limit.Replicas, c.record.Engines)
 			}
 		}
 	})
 }
 
-// without is what settles an id that is gone, where a test's engine keeps its id.
-func without(engines map[string]int64, id string) map[string]int64 {
+// withoutEngine returns the record's engines without an ID. It settles an engine that restarted, since the engines of
+// the test keep their IDs.
+func withoutEngine(engines map[string]int64, id string) map[string]int64 {
 	rest := map[string]int64{}
-	for other, decided := range engines {
+	for other, loadSequence := range engines {
 		if other != id {
-			rest[other] = decided
+			rest[other] = loadSequence
 		}
 	}
 	return rest
 }
 
-// TestGrant: single decisions.
+// TestGrant checks single decisions.
 func TestGrant(t *testing.T) {
 	two := Limit{Replicas: 2}
 	for _, c := range []struct {
@@ -122,9 +123,9 @@
 		{"free", nil, nil, nil, true},
 		{"held by two", nil, nil, []string{"b", "c"}, false},
 		{"held here already", nil, nil, []string{"a", "c"}, true},
-		{"a load may be under way", map[string]int64{"b": 4}, map[string]Engine{"b": {Exists: true, Sure: true, Sequence: 4}}, []string{"c"}, false},
-		{"the load is settled", map[string]int64{"b": 4}, map[string]Engine{"b": {Exists: true, Sure: true, Sequence: 5}}, []string{"c"}, true},
-		{"it was carried out", map[string]int64{"b": 4}, map[string]Engine{"b": {Exists: true, Sure: true, Holds: true, Sequence: 5}}, []string{"c"}, false},
+		{"a load may be under way", map[string]int64{"b": 4}, map[string]Engine{"b": {Exists: true, UpToDate: true, Sequence: 4}}, []string{"c"}, false},
+		{"the load is settled", map[string]int64{"b": 4}, map[string]Engine{"b": {Exists: true, UpToDate: true, Sequence: 5}}, []string{"c"}, true},
+		{"it was carried out", map[string]int64{"b": 4}, map[string]Engine{"b": {Exists: true, UpToDate: true, Holds: true, Sequence: 5}}, []string{"c"}, false},
 		{"not known", map[string]int64{"b": 4}, map[string]Engine{"b": {Exists: true, Sequence: 5}}, []string{"c"}, false},
 		{"the engine is gone", map[string]int64{"b": 4}, nil, []string{"c"}, true},
 	} {
@@ -140,6 +141,6 @@
 		})
 	}
 	if !(Limit{}).AllowedIn("x") || (Limit{Domains: []string{"y"}}).AllowedIn("x") {
-		t.Error("failure domains of a limit")
+		t.Error("AllowedIn does not follow the failure domains of the limit")
 	}
 }
--- a/command/replicas/limit.go
+++ b/command/replicas/limit.go
@@ -42,7 +42,7 @@
 	if e == nil {
 		return limits.Engine{Exists: !f.complete}
 	}
-	return limits.Engine{Exists: true, Sure: !e.Unsure, Holds: e.Copies[model] != nil, Sequence: e.Sequence}
+	return limits.Engine{Exists: true, UpToDate: !e.Unsure, Holds: e.Copies[model] != nil, Sequence: e.Sequence}
 }
 
 // Trim plans the unloads that the operators' limits require: copies beyond a lowered number, and copies in failure
