--- a/command/weights/weights.go
+++ b/command/weights/weights.go
@@ -1,11 +1,9 @@
-// Package weights shares the weight store's streams. Loads that all run at once
-// all come late; run a few at a time, by deadline, and most come in time.
+// Package weights schedules loads on the streams of the weight store. If all loads run at once, all of them miss their
+// deadlines; if only a few run at a time, ordered by deadline, most finish in time.
 //
-// Each failure domain has one gate, at an instance chosen by rendezvous
-// hashing. A domain always has its own share of the streams, so that it goes on
-// when it is cut off, and may use what the other domains are known not to use.
-// The gate is a matter of efficiency only: where it does not answer, a load
-// starts without it.
+// Each failure domain has one gate, on an instance chosen by rendezvous hashing. A domain always has its own share of
+// the streams, so that it can continue when it is cut off, and may borrow streams that the other domains are known not
+// to use. The gate only improves efficiency: if it does not answer, a load starts without it.
 package weights
 
 import (
@@ -18,15 +16,15 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// Request asks for a stream for one load.
+// Request is a request for a stream for one load.
 type Request struct {
 	Engine, Unit string
 	Bytes        int64
-	// Latest is the time after which nobody waits for the load.
+	// Latest is the time after which no request waits for the load.
 	Latest time.Time
 }
 
-// loadID names one load.
+// loadID identifies a load.
 type loadID struct{ engine, unit string }
 
 func (r Request) id() loadID { return loadID{r.Engine, r.Unit} }
@@ -34,44 +32,44 @@
 // Gate grants streams in one failure domain.
 type Gate struct {
 	params Params
-	// news has an item when a load has begun to wait.
-	news chan struct{}
+	// changed has an item when a load has started to wait.
+	changed chan struct{}
 
 	mu      sync.Mutex
 	waiting []*waiter        // guarded by mu
 	granted map[loadID]grant // guarded by mu
-	// waitingFrom is since when loads have waited, with pauses of up to Settle:
-	// one whose caller asks anew has not just come. waitedAt is when one last did.
-	waitingFrom, waitedAt time.Time // guarded by mu
-	// borrowed is when a stream beyond the share was last granted.
-	borrowed time.Time // guarded by mu
-	speeds   []float64 // guarded by mu; bytes a second of the newest loads
-	notedAt  time.Time // guarded by mu; when the newest of them ended
+	// waitingSince is since when loads have been waiting, ignoring gaps of up to GrantGrace, since a caller that asks
+	// again is not new. lastWaitedAt is when a load was last seen waiting.
+	waitingSince, lastWaitedAt time.Time // guarded by mu
+	// borrowedAt is when a stream beyond the share was last granted.
+	borrowedAt  time.Time // guarded by mu
+	speeds      []float64 // guarded by mu; bytes per second of the newest loads
+	lastSpeedAt time.Time // guarded by mu; when the newest of these loads ended
 }
 
-// Params bound a Gate.
+// Params configures a Gate.
 type Params struct {
-	// Settle is how long after a grant the load may not be known yet.
-	Settle time.Duration
-	// Borrow is the shortest time between two grants beyond the own share: long
-	// enough to hear what the other domains have begun meanwhile.
-	Borrow time.Duration
-	// Hear is how long a domain takes to hear what another has begun.
-	Hear time.Duration
-	// Trust is how long an observed speed is believed when no load is running:
-	// if all were refused for it, it would never be corrected.
-	Trust time.Duration
-	// RetryAfter is told when a load is refused.
+	// GrantGrace is how long after a grant the load may still be missing from reports.
+	GrantGrace time.Duration
+	// BorrowInterval is the minimum time between two grants beyond the share: long enough to learn which loads the
+	// other domains have started in the meantime.
+	BorrowInterval time.Duration
+	// PropagationDelay is how long it takes until a domain learns which loads another one has started.
+	PropagationDelay time.Duration
+	// SpeedMaxAge is how long an observed speed is used while no load is running. If all loads were refused because of
+	// it, it would never be corrected.
+	SpeedMaxAge time.Duration
+	// RetryAfter is the minimum retry delay returned with a refusal.
 	RetryAfter time.Duration
 }
 
-// DefaultParams returns the bounds used unless set otherwise.
+// DefaultParams returns the default parameters.
 func DefaultParams() Params {
-	return Params{Settle: 5 * time.Second, Borrow: 1500 * time.Millisecond, Hear: 500 * time.Millisecond, Trust: 30 * time.Second, RetryAfter: 5 * time.Second}
+	return Params{GrantGrace: 5 * time.Second, BorrowInterval: 1500 * time.Millisecond, PropagationDelay: 500 * time.Millisecond, SpeedMaxAge: 30 * time.Second, RetryAfter: 5 * time.Second}
 }
 
-// keptSpeeds is how many of the newest loads are remembered.
-const keptSpeeds = 8
+// maxSpeeds is how many of the newest loads are used to estimate the speed.
+const maxSpeeds = 8
 
 // grant is a stream in use.
 type grant struct {
@@ -84,15 +82,14 @@
 	done chan error
 }
 
-// NewGate returns a gate that has granted nothing.
+// NewGate returns a gate without granted streams.
 func NewGate(p Params) *Gate {
-	return &Gate{params: p, granted: map[loadID]grant{}, news: make(chan struct{}, 1)}
+	return &Gate{params: p, granted: map[loadID]grant{}, changed: make(chan struct{}, 1)}
 }
 
-// Acquire waits for a stream. The load that is needed soonest goes first; one
-// that cannot be finished in time any more, even at the fastest that the store
-// was of late, is refused, so that a slow store is not kept busy with loads
-// that serve nobody.
+// Acquire waits for a stream. Streams are granted by deadline, earliest first. A load that cannot finish in time even at
+// the highest recently observed speed is refused, so that a slow store is not occupied by loads that no request waits
+// for any more. Acquire also fails when ctx is done.
 func (g *Gate) Acquire(ctx context.Context, r Request) error {
 	w := &waiter{Request: r, done: make(chan error, 1)}
 	g.mu.Lock()
@@ -100,12 +97,12 @@
 		g.mu.Unlock()
 		return nil
 	}
-	if len(g.waiting) == 0 && time.Since(g.waitedAt) > g.params.Settle {
-		g.waitingFrom = time.Now()
+	if len(g.waiting) == 0 && time.Since(g.lastWaitedAt) > g.params.GrantGrace {
+		g.waitingSince = time.Now()
 	}
 	g.waiting = append(g.waiting, w)
 	g.mu.Unlock()
-	pause.Wake(g.news)
+	pause.Wake(g.changed)
 	select {
 	case err := <-w.done:
 		return err
@@ -115,8 +112,8 @@
 	}
 }
 
-// News has an item when Update should look, since a load has begun to wait.
-func (g *Gate) News() <-chan struct{} { return g.news }
+// News returns a channel that has an item when Update should be called because a load has started to wait.
+func (g *Gate) News() <-chan struct{} { return g.changed }
 
 func (g *Gate) remove(w *waiter) {
 	g.mu.Lock()
@@ -124,49 +121,48 @@
 	g.waiting = slices.DeleteFunc(g.waiting, func(o *waiter) bool { return o == w })
 }
 
-// State of a granted load, as its engine reports it.
+// State is the state of a granted load, as reported by its engine.
 type State int
 
 // The states.
 const (
-	// Unknown: not reported, perhaps not yet.
+	// Unknown: not reported, or not yet.
 	Unknown State = iota
 	Loading
 	Finished
 )
 
-// Streams are those that a failure domain may use.
+// Streams are the streams that a failure domain may use.
 type Streams struct {
-	// Share is its own; it may use them whatever the others do.
+	// Share is the domain's own share, which it may use regardless of the other domains.
 	Share int
-	// Allowed is Share and what the others are known to leave.
+	// Allowed is Share plus the streams that the other domains are known not to use.
 	Allowed int
-	// Turn is the domain's place in the order in which domains that need streams
-	// at the same moment borrow them. One that is not first waits until it can
-	// have heard what those before it have begun.
-	Turn int
+	// BorrowRank is the domain's rank among domains that need streams at the same moment. A domain of a higher rank
+	// waits before it borrows until it must have learned which loads those of lower rank have started.
+	BorrowRank int
 }
 
-// Update drops loads that are over and grants streams while there are any. look
-// returns the state of a granted load.
-func (g *Gate) Update(s Streams, look func(engine, unit string) State, now time.Time) {
+// Update drops loads that have ended and grants streams to waiting loads while any are available. loadState returns the
+// state of a granted load.
+func (g *Gate) Update(s Streams, loadState func(engine, unit string) State, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for id, one := range g.granted {
-		switch look(id.engine, id.unit) {
+	for id, granted := range g.granted {
+		switch loadState(id.engine, id.unit) {
 		case Finished:
-			g.note(one.bytes, now.Sub(one.since))
+			g.recordSpeed(granted.bytes, now.Sub(granted.since))
 			delete(g.granted, id)
 		case Unknown:
-			if now.Sub(one.since) > g.params.Settle {
+			if now.Sub(granted.since) > g.params.GrantGrace {
 				delete(g.granted, id)
 			}
 		}
 	}
 	if len(g.waiting) > 0 {
-		g.waitedAt = now
+		g.lastWaitedAt = now
 	}
-	g.refuseDoomed(now)
+	g.refuseLate(now)
 	slices.SortStableFunc(g.waiting, func(a, b *waiter) int { return a.Latest.Compare(b.Latest) })
 	for len(g.waiting) > 0 && g.mayGrant(s, now) {
 		w := g.waiting[0]
@@ -176,24 +172,24 @@
 	}
 }
 
-// mayGrant needs mu.
+// mayGrant reports whether one more stream may be granted, and records a borrowed one. g.mu must be held.
 func (g *Gate) mayGrant(s Streams, now time.Time) bool {
 	if len(g.granted) < s.Share {
 		return true
 	}
-	if len(g.granted) >= s.Allowed || now.Sub(g.borrowed) < g.params.Borrow {
+	if len(g.granted) >= s.Allowed || now.Sub(g.borrowedAt) < g.params.BorrowInterval {
 		return false
 	}
-	if now.Sub(g.waitingFrom) < g.params.Borrow+time.Duration(s.Turn)*g.params.Hear {
+	if now.Sub(g.waitingSince) < g.params.BorrowInterval+time.Duration(s.BorrowRank)*g.params.PropagationDelay {
 		return false
 	}
-	g.borrowed = now
+	g.borrowedAt = now
 	return true
 }
 
-// refuseDoomed needs mu.
-func (g *Gate) refuseDoomed(now time.Time) {
-	if len(g.granted) == 0 && now.Sub(g.notedAt) > g.params.Trust {
+// refuseLate refuses the waiting loads that cannot finish in time. g.mu must be held.
+func (g *Gate) refuseLate(now time.Time) {
+	if len(g.granted) == 0 && now.Sub(g.lastSpeedAt) > g.params.SpeedMaxAge {
 		g.speeds = nil
 	}
 	fastest := 0.0
@@ -201,26 +197,26 @@
 		fastest = max(fastest, s)
 	}
 	g.waiting = slices.DeleteFunc(g.waiting, func(w *waiter) bool {
-		need := time.Duration(0)
+		loadTime := time.Duration(0)
 		if fastest > 0 {
-			need = time.Duration(float64(w.Bytes) / fastest * float64(time.Second))
+			loadTime = time.Duration(float64(w.Bytes) / fastest * float64(time.Second))
 		}
-		if !now.Add(need).After(w.Latest) {
+		if !now.Add(loadTime).After(w.Latest) {
 			return false
 		}
-		w.done <- verdict.Refuse(verdict.ReasonTooSlow, "%s cannot be loaded in time, a load takes %v", w.Unit, need.Round(time.Second)).After(max(need, g.params.RetryAfter))
+		w.done <- verdict.Refuse(verdict.ReasonTooSlow, "%s cannot be loaded in time, a load takes %v", w.Unit, loadTime.Round(time.Second)).After(max(loadTime, g.params.RetryAfter))
 		return true
 	})
 }
 
-// note keeps how fast a load was. It needs mu.
-func (g *Gate) note(bytes int64, took time.Duration) {
-	if took <= 0 {
+// recordSpeed records the speed of a load that ended. g.mu must be held.
+func (g *Gate) recordSpeed(bytes int64, elapsed time.Duration) {
+	if elapsed <= 0 {
 		return
 	}
-	g.notedAt = time.Now()
-	g.speeds = append(g.speeds, float64(bytes)/took.Seconds())
-	if len(g.speeds) > keptSpeeds {
+	g.lastSpeedAt = time.Now()
+	g.speeds = append(g.speeds, float64(bytes)/elapsed.Seconds())
+	if len(g.speeds) > maxSpeeds {
 		g.speeds = g.speeds[1:]
 	}
 }
@@ -232,8 +228,8 @@
 	return len(g.waiting)
 }
 
-// Divide returns the streams of the failure domain with this index among all.
-// The shares together are all streams, but each domain has at least one.
+// Divide returns the streams of the failure domain with the given index. The shares of all domains add up to all
+// streams, except that each domain has at least one.
 func Divide(streams, domains, index, usedElsewhere int) Streams {
 	domains = max(1, domains)
 	share := streams / domains
@@ -241,5 +237,5 @@
 		share++
 	}
 	share = max(1, share)
-	return Streams{Share: share, Allowed: max(share, streams-usedElsewhere), Turn: index}
+	return Streams{Share: share, Allowed: max(share, streams-usedElsewhere), BorrowRank: index}
 }
--- a/command/weights/weights_test.go
+++ b/command/weights/weights_test.go
@@ -12,8 +12,8 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// TestByDeadline: streams go to the loads that are needed soonest.
-func TestByDeadline(t *testing.T) {
+// TestStreamsGrantedByDeadline: streams are granted by deadline, earliest first.
+func TestStreamsGrantedByDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(DefaultParams())
 		var (
@@ -39,18 +39,18 @@
 		}
 		all.Wait()
 		if !slices.Equal(order, []string{"10", "20", "30"}) {
-			t.Errorf("order %v", order)
+			t.Errorf("streams granted in order %v, want 10, 20, 30", order)
 		}
 	})
 }
 
-// TestDoomedLoads: with a store that has become slow, loads that would come too
-// late are refused at once and truthfully; others wait.
-func TestDoomedLoads(t *testing.T) {
+// TestLateLoadsAreRefused: when the store has become slow, loads that cannot finish in time are refused at once with a
+// retry delay of at least the load time; other loads wait.
+func TestLateLoadsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(DefaultParams())
-		for range keptSpeeds {
-			g.loaded(t, 100, 100*time.Second)
+		for range maxSpeeds {
+			g.runLoad(t, 100, 100*time.Second)
 		}
 		errs := make(chan error, 2)
 		for _, limit := range []time.Duration{time.Minute, 10 * time.Minute} {
@@ -64,10 +64,10 @@
 		g.Update(Streams{}, nil, time.Now())
 		synctest.Wait()
 		if f := verdict.Of(<-errs); f.Verdict != verdict.NotRun || f.RetryAfter < 100*time.Second {
-			t.Errorf("%+v", f)
+			t.Errorf("%+v, want a refusal with a retry delay of at least 100 s", f)
 		}
 		if n := g.Waiting(); n != 1 {
-			t.Errorf("%d wait, want 1", n)
+			t.Errorf("%d loads wait, want 1", n)
 		}
 		g.Update(Streams{Share: 1, Allowed: 1}, func(string, string) State { return Loading }, time.Now())
 		if err := <-errs; err != nil {
@@ -76,14 +76,14 @@
 	})
 }
 
-// TestDivide: shares together are all streams, and every domain has one.
+// TestDivide: the shares add up to all streams, and every domain has at least one.
 func TestDivide(t *testing.T) {
 	for _, c := range []struct {
 		streams, domains, index, elsewhere int
 		want                               Streams
 	}{
-		{4, 3, 0, 0, Streams{Share: 2, Allowed: 4}}, {4, 3, 1, 2, Streams{Share: 1, Allowed: 2, Turn: 1}}, {4, 3, 2, 4, Streams{Share: 1, Allowed: 1, Turn: 2}},
-		{1, 3, 2, 1, Streams{Share: 1, Allowed: 1, Turn: 2}}, {40, 4, 3, 40, Streams{Share: 10, Allowed: 10, Turn: 3}}, {4, 0, 0, 0, Streams{Share: 4, Allowed: 4}},
+		{4, 3, 0, 0, Streams{Share: 2, Allowed: 4}}, {4, 3, 1, 2, Streams{Share: 1, Allowed: 2, BorrowRank: 1}}, {4, 3, 2, 4, Streams{Share: 1, Allowed: 1, BorrowRank: 2}},
+		{1, 3, 2, 1, Streams{Share: 1, Allowed: 1, BorrowRank: 2}}, {40, 4, 3, 40, Streams{Share: 10, Allowed: 10, BorrowRank: 3}}, {4, 0, 0, 0, Streams{Share: 4, Allowed: 4}},
 	} {
 		if got := Divide(c.streams, c.domains, c.index, c.elsewhere); got != c.want {
 			t.Errorf("Divide(%d, %d, %d, %d) = %v, want %v", c.streams, c.domains, c.index, c.elsewhere, got, c.want)
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestBorrowing: beyond its share a domain takes one stream at a time, and none
-// before it can have heard what others have begun at the same moment.
+// TestBorrowing: a domain borrows one stream at a time beyond its share, and none before it must have learned which loads
+// the other domains have started at the same moment.
 func TestBorrowing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(DefaultParams())
@@ -107,16 +107,16 @@
 			g.Update(Streams{Share: 1, Allowed: 4}, loading, time.Now())
 			synctest.Wait()
 			if n := g.Waiting(); n != want {
-				t.Errorf("%d wait, want %d", n, want)
+				t.Errorf("%d loads wait, want %d", n, want)
 			}
-			time.Sleep(DefaultParams().Borrow)
+			time.Sleep(DefaultParams().BorrowInterval)
 		}
 	})
 }
 
-// TestTurns: of domains that need streams at the same moment, one borrows before
-// the others, which hear of it.
-func TestTurns(t *testing.T) {
+// TestBorrowOrder: of domains that need streams at the same moment, one borrows before the others, so that together they
+// never use more streams than there are.
+func TestBorrowOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const streams, domains, needed = 4, 3, 5
 		var gates []*Gate
@@ -131,12 +131,12 @@
 		}
 		synctest.Wait()
 		loading := func(string, string) State { return Loading }
-		heard := make([]int, domains) // in use at each, as the others have heard
-		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(DefaultParams().Hear) {
+		known := make([]int, domains) // streams in use in each domain, as known to the others
+		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(DefaultParams().PropagationDelay) {
 			next := make([]int, domains)
 			total := 0
 			for i, g := range gates {
-				elsewhere := heard[(i+1)%domains] + heard[(i+2)%domains]
+				elsewhere := known[(i+1)%domains] + known[(i+2)%domains]
 				g.Update(Divide(streams, domains, i, elsewhere), loading, time.Now())
 				synctest.Wait()
 				next[i] = needed - g.Waiting()
@@ -145,13 +145,13 @@
 			if total > streams {
 				t.Fatalf("%v streams in use, of %d", next, streams)
 			}
-			heard = next
+			known = next
 		}
 	})
 }
 
-// loaded takes a load of so many bytes and so long through the gate.
-func (g *Gate) loaded(t *testing.T, bytes int64, took time.Duration) {
+// runLoad takes a load of the given size and duration through the gate.
+func (g *Gate) runLoad(t *testing.T, bytes int64, duration time.Duration) {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() {
@@ -163,6 +163,6 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(took)
+	time.Sleep(duration)
 	g.Update(one, func(string, string) State { return Finished }, time.Now())
 }
