--- a/entry/clientconn.go
+++ b/entry/clientconn.go
@@ -165,8 +165,8 @@
 
 // CloseWrite lets net/http deliver an answer before it closes a connection with unread data.
 func (c *clientConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
--- a/entry/clients.go
+++ b/entry/clients.go
@@ -71,8 +71,8 @@
 	<-c.acceptStarted
 	_ = c.listener.Close()
 	<-c.acceptEnded
-	c.waitUntil(deadline, c.guard.empty)
-	if !c.guard.empty() {
+	c.waitUntil(deadline, c.guard.noConnections)
+	if !c.guard.noConnections() {
 		c.ends.logCutOff(c.guard.countPhases())
 	}
 	_ = c.server.Close()
--- a/entry/clients_test.go
+++ b/entry/clients_test.go
@@ -112,7 +112,7 @@
 		}
 		begin()
 		time.Sleep(10*time.Second + 2*connCheckInterval)
-		if !s.clients.guard.empty() {
+		if !s.clients.guard.noConnections() {
 			t.Error("a connection outlasts the idle limit by a part of a request")
 		}
 		begin()
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -50,8 +50,8 @@
 	at time.Time
 }
 
-func newCrashDetector(k *quarantineManager, dir *directory.Directory, b *platform.Backends, set *metrics.Set, log logrus.FieldLogger) *crashDetector {
-	return &crashDetector{ledger: k.ledger, quarantine: k, dir: dir, backends: b, set: set, log: log, incarnations: map[quarantine.Incarnation]*incarnationWatch{}}
+func newCrashDetector(q *quarantineManager, dir *directory.Directory, b *platform.Backends, set *metrics.Set, log logrus.FieldLogger) *crashDetector {
+	return &crashDetector{ledger: q.ledger, quarantine: q, dir: dir, backends: b, set: set, log: log, incarnations: map[quarantine.Incarnation]*incarnationWatch{}}
 }
 
 const (
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -117,8 +117,8 @@
 	i.backends.Listen(i.limiter.observe)
 	i.holder.LimitServers(lendableLimits{i.limiter.ledger})
 	i.follower = newFollower(s.NodeName, i.holder, i.dir, rpcpool.New(n.peers), i.members, log)
-	bound := func() time.Duration { return updateLifetime(i.settings.Load()) }
-	i.watcher = newWatcher(i.client, i.dir, i.backends, i.balancer, i.holder.Holds, bound, log)
+	maxUpdateAge := func() time.Duration { return updateLifetime(i.settings.Load()) }
+	i.watcher = newWatcher(i.client, i.dir, i.backends, i.balancer, i.holder.Holds, maxUpdateAge, log)
 	i.watcher.onNewEra, i.watcher.onRestored = i.holder.EraBegan, i.handleStoreRestored
 	i.follower.watcher, i.follower.shares = i.watcher, quota.NewShares(holderParams.Quota.Lifetime)
 	i.follower.limiter = i.limiter
--- a/entry/guard.go
+++ b/entry/guard.go
@@ -186,8 +186,8 @@
 	return counts[phaseReceiving]+counts[phaseServing] == 0
 }
 
-// empty reports whether there are no connections.
-func (g *connGuard) empty() bool {
+// noConnections reports whether there are no connections.
+func (g *connGuard) noConnections() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.conns) == 0
--- a/entry/operators_workspaces.go
+++ b/entry/operators_workspaces.go
@@ -28,9 +28,9 @@
 	out.KeysTrusted = s.i.access.keysTrusted(config, known)
 	totals, err := s.i.follower.queryLimits(ctx)
 	out.TotalsKnown = err == nil
-	here := s.i.follower.shares.Status(clock.Now())
+	local := s.i.follower.shares.Status(clock.Now())
 	for _, w := range config.Workspaces {
-		out.Workspaces = append(out.Workspaces, describeWorkspace(w, totals, here))
+		out.Workspaces = append(out.Workspaces, describeWorkspace(w, totals, local))
 	}
 	return connect.NewResponse(out), nil
 }
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -49,8 +49,8 @@
 }
 
 // Waits implements forward.Placer.
-func (f *follower) Waits(unit serving.Unit, priority int, onTime, leaves time.Time) func() {
-	w := &waitingRequest{weight: serving.Weight(priority), onTimeUntil: onTime, expires: leaves}
+func (f *follower) Waits(unit serving.Unit, priority int, onTimeUntil, expires time.Time) func() {
+	w := &waitingRequest{weight: serving.Weight(priority), onTimeUntil: onTimeUntil, expires: expires}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.waiting[unit.Model] == nil {
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -11,7 +11,7 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// crashGuard is what the forwarder asks of requests under which servers end. It implements
+// crashGuard gives the forwarder the state of requests under which servers ended. It implements
 // forward.Guard.
 type crashGuard struct {
 	*crashDetector
@@ -25,8 +25,8 @@
 		return state
 	}
 	for _, s := range g.dir.Servers(service) {
-		if on := g.ledger.StateOn(fp, s.Version); on != quarantine.Quarantined {
-			return on
+		if onVersion := g.ledger.StateOn(fp, s.Version); onVersion != quarantine.Quarantined {
+			return onVersion
 		}
 	}
 	return state
@@ -45,8 +45,8 @@
 	return g.follower.consult(ctx, fp)
 }
 
-// loadGrace bounds how long an instance that starts refuses requests because it has not read
-// yet which are held: the store answers within milliseconds, and may turn this call away.
+// loadGrace bounds how long an instance that starts refuses requests because it has not yet read from
+// the store which ones are held. The store answers within milliseconds, but may reject this call.
 const loadGrace = 3 * time.Second
 
 // Ready implements forward.Guard.
@@ -54,7 +54,8 @@
 	return g.quarantine.loaded.Load() || clock.Since(g.quarantine.started) > loadGrace
 }
 
-// Try implements forward.Guard. The holder lets suspects run; while there is none, nobody does.
+// Try implements forward.Guard. Only the holder lets a suspect request run; while there is no holder,
+// none runs.
 func (g *crashGuard) Try(ctx context.Context, fp serving.Fingerprint, s serving.Server, maxRun time.Duration) (forward.Trial, error) {
 	trial := quarantine.Trial{Fingerprint: fp, Server: s.ID, Instance: g.follower.name}
 	granted, err := g.follower.requestTrial(ctx, trial, s.Version, maxRun)
@@ -74,10 +75,10 @@
 	return forward.Trial{Grace: g.ledger.Grace(fp), End: end}, nil
 }
 
-// crashSweepInterval is how often old knowledge is dropped.
+// crashSweepInterval is how often expired state is dropped.
 const crashSweepInterval = time.Second
 
-// runSweep drops old knowledge until ctx ends.
+// runSweep drops expired state until ctx ends.
 func (c *crashDetector) runSweep(ctx context.Context) {
 	for pause.For(ctx, crashSweepInterval) {
 		c.sweep(clock.Now())
--- a/entry/quarantine_broadcast.go
+++ b/entry/quarantine_broadcast.go
@@ -11,13 +11,14 @@
 	"github.com/martenport/martenport/internal/clock"
 )
 
-// While no holder answers, an instance tells all others itself what it has seen. What came
-// from another that does so is not told on: that one tells all. With reports a second apart a
-// holder is silent for as long between any two of them, so that it is reports without an answer
-// that count: by silence alone all instances of a large fleet would tell each other everything all
-// the time.
+// While no holder answers, each instance sends what it has observed to all others. What it has
+// received from another instance's broadcast is not forwarded, since that instance sends it to all.
+// The condition is the number of unanswered reports. With reports one second apart a holder is silent
+// for that long between any two of them, so that by the length of the silence all instances of a large
+// fleet would broadcast all the time.
 
-// markDelivered notes that the holder has been told through a change, and tells the others.
+// markDelivered records that the holder has received the ledger's changes through delivered. The holder
+// forwards them to the other instances.
 func (q *quarantineManager) markDelivered(delivered uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -25,7 +26,7 @@
 	clear(q.undelivered)
 }
 
-// receiveDirect takes over what another instance tells all.
+// receiveDirect merges the records from another instance's broadcast.
 func (q *quarantineManager) receiveDirect(records []quarantine.Record, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -36,8 +37,8 @@
 	}
 }
 
-// broadcast tells all other instances what they may lack. delivered is through which change the
-// holder was told while there was one.
+// broadcast sends all other instances the records that they may lack. delivered is the last change
+// that a holder has received.
 func (q *quarantineManager) broadcast(ctx context.Context, delivered uint64) {
 	q.mu.Lock()
 	q.delivered = max(q.delivered, delivered)
@@ -62,13 +63,13 @@
 			return nil
 		})
 	}
-	_ = calls.Wait() // who is not reached is told again with the next look
+	_ = calls.Wait() // instances that were not reached are retried with the next broadcast
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.delivered = max(q.delivered, through)
 }
 
-// sendTo tells one instance what has changed since a change, and notes if it was not reached.
+// sendTo sends one instance the changes after since, and records whether it was not reached.
 func (q *quarantineManager) sendTo(ctx context.Context, address string, since uint64) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
--- a/entry/quarantine_manager.go
+++ b/entry/quarantine_manager.go
@@ -17,34 +17,35 @@
 	"github.com/martenport/martenport/store"
 )
 
-// quarantineManager has all instances know of requests under which servers end: by the reports
-// to the holder and its answers; from instance to instance while no holder answers; and, for
-// suspects and quarantined requests, by the store, where it outlasts all instances. The last
-// is rare, and the only one that costs calls to the store.
+// quarantineManager shares the state of requests under which servers ended between all instances: with
+// the reports to the holder and its answers; directly between instances while no holder answers; and,
+// for suspect and quarantined requests, through the store, where the state survives a restart of all
+// instances. Only the last of these costs calls to the store, and it is rare.
 type quarantineManager struct {
 	ledger   *quarantine.Ledger
 	store    store.Store
 	members  *members
 	pool     *rpcpool.Pool
 	follower *follower
-	// isHolder reports whether this instance isHolder the lease.
+	// isHolder reports whether this instance holds the lease.
 	isHolder func() bool
 	log      logrus.FieldLogger
 	set      *metrics.Set
-	// loaded: what the store has was taken over.
+	// loaded is whether the state in the store has been merged.
 	loaded atomic.Bool
-	// started is when the instance was made.
+	// started is when the instance was created.
 	started time.Time
 
 	mu sync.Mutex
-	// unwritten are requests whose state in the store may be another; guarded by mu.
+	// unwritten are requests whose state in the store may be out of date; guarded by mu.
 	unwritten map[serving.Fingerprint]bool
-	// delivered is through which change all others know of the ledger, by the holder or by having
-	// been delivered directly, but for those in missed, by address; guarded by mu.
+	// delivered is the last change of the ledger that all other instances have, through the holder or
+	// a broadcast. The exceptions are in undelivered: by address, the last change that the instance
+	// has. Both are guarded by mu.
 	delivered     uint64
 	undelivered   map[string]uint64
 	syncRequested chan struct{}
-	// urgent are requests that are held since a moment, of which all are told at once;
+	// urgent are requests that have just become held, which all instances are notified of at once;
 	// guarded by mu.
 	urgent          map[serving.Fingerprint]bool
 	urgentRequested chan struct{}
@@ -72,8 +73,9 @@
 	return n
 }
 
-// recordChange notes that this instance has learned of an end, and which requests are suspects or
-// quarantined by that: it writes those down, and tells the holder now.
+// recordChange handles an end that this instance has detected, and the requests that became suspect or
+// quarantined because of it. It schedules writing them to the store, and reports them to the holder at
+// once.
 func (q *quarantineManager) recordChange(raised []quarantine.Raise) {
 	q.recordRaised(raised, "seen here")
 	q.scheduleRaised(raised)
@@ -81,10 +83,10 @@
 	pause.Wake(q.syncRequested)
 }
 
-// answerMessage takes over what another instance tells, and returns what to tell it.
+// answerMessage merges another instance's message, and returns the message to answer it with.
 func (q *quarantineManager) answerMessage(m quarantine.Message, now time.Time) quarantine.Message {
 	answer, raised := q.ledger.Answer(m, now)
-	if len(raised) > 0 { // no single instance has seen that
+	if len(raised) > 0 { // no single instance has observed all ends that count here
 		q.recordRaised(raised, "put together")
 		q.scheduleRaised(raised)
 		pause.Wake(q.syncRequested)
@@ -92,17 +94,17 @@
 	return answer
 }
 
-// merge takes over what another instance knows.
+// merge merges records from another instance.
 func (q *quarantineManager) merge(records []quarantine.Record, now time.Time) {
 	q.recordReceived(q.ledger.Take(records, now))
 }
 
-// recordReceived notes which requests are held by what another instance says.
+// recordReceived records which requests became held because of another instance's records.
 func (q *quarantineManager) recordReceived(raised []quarantine.Raise) {
 	q.recordRaised(raised, "heard")
 }
 
-// recordRaised logs which requests are held now, and has the holder tell all others.
+// recordRaised logs which requests became held, and makes the holder notify all other instances.
 func (q *quarantineManager) recordRaised(raised []quarantine.Raise, source string) {
 	for _, r := range raised {
 		q.log.WithFields(logrus.Fields{
@@ -115,7 +117,7 @@
 	}
 }
 
-// recordCleared notes that a request was answered, or released, and which state it had.
+// recordCleared records that a request was answered or released. before is its previous state.
 func (q *quarantineManager) recordCleared(fp serving.Fingerprint, before quarantine.State) {
 	if before != quarantine.Clear {
 		q.scheduleWrite(fp)
@@ -124,7 +126,7 @@
 	pause.Wake(q.syncRequested)
 }
 
-// recordExpired has the store forget a request, once for all instances.
+// recordExpired deletes a request's entry in the store. Only the holder does so.
 func (q *quarantineManager) recordExpired(fp serving.Fingerprint) {
 	if q.isHolder() {
 		q.recordCleared(fp, quarantine.Quarantined)
@@ -137,7 +139,7 @@
 	}
 }
 
-// scheduleWrite has the next write bring the store up to date with requests.
+// scheduleWrite adds requests to those whose state is written to the store next.
 func (q *quarantineManager) scheduleWrite(fps ...serving.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -146,8 +148,8 @@
 	}
 }
 
-// scheduleWriteAll has the next write bring the store up to date with all requests that are held: it may
-// have forgotten them.
+// scheduleWriteAll adds all held requests to those whose state is written to the store next, since a
+// restored store may lack them.
 func (q *quarantineManager) scheduleWriteAll() {
 	for _, r := range q.ledger.List(clock.Now()) {
 		if r.State() != quarantine.Clear {
@@ -156,17 +158,18 @@
 	}
 }
 
-// Times of the keeper.
+// Intervals and time limits of the quarantine manager.
 const (
-	// syncInterval is the pause between looks at what is to be told or written.
+	// syncInterval is the pause between checks for state to send or write.
 	syncInterval = 250 * time.Millisecond
-	// broadcastAfter reports in a row without an answer of the holder, instances tell each other.
+	// broadcastAfter is the number of reports in a row without an answer of the holder after which
+	// instances broadcast.
 	broadcastAfter = 2
 	// sendTimeout bounds one call to another instance.
 	sendTimeout = 400 * time.Millisecond
 )
 
-// run reads what the store has and keeps it, and the other instances, up to date.
+// run loads the state in the store, and keeps the store and the other instances up to date.
 func (q *quarantineManager) run(ctx context.Context) {
 	for !q.loaded.Load() && !q.load(ctx) {
 		if !pause.For(ctx, syncInterval) {
@@ -175,7 +178,7 @@
 	}
 	for pause.Until(ctx, syncInterval, q.syncRequested) {
 		q.write(ctx)
-		if misses, delivered := q.follower.reportProgress(); misses >= broadcastAfter {
+		if unanswered, delivered := q.follower.reportProgress(); unanswered >= broadcastAfter {
 			q.broadcast(ctx, delivered)
 		} else {
 			q.markDelivered(delivered)
--- a/entry/quarantine_store.go
+++ b/entry/quarantine_store.go
@@ -16,10 +16,11 @@
 	"github.com/martenport/martenport/store"
 )
 
-// prefixQuarantine has an entry for each suspect and quarantined request, by fingerprint.
+// prefixQuarantine is the store's prefix of the entries of suspect and quarantined requests, by
+// fingerprint.
 const prefixQuarantine = "quarantine/"
 
-// heldRequest is such an entry.
+// heldRequest is the entry of a suspect or quarantined request.
 type heldRequest struct {
 	Subject string                   `json:"subject"`
 	Crashes []quarantine.Incarnation `json:"crashes"`
@@ -27,16 +28,16 @@
 	Alone   []quarantine.Incarnation `json:"alone,omitempty"`
 	Pending []heldEnd                `json:"pending,omitempty"`
 	GraceMS int64                    `json:"graceMs"`
-	// ChangedMS is the time of the last change in milliseconds of the Unix epoch. It decides
-	// for how many minutes the entry counts and nothing else.
+	// ChangedMS is the time of the last change, in milliseconds since the Unix epoch. It only
+	// determines for how many minutes the entry counts.
 	ChangedMS int64 `json:"changedMs"`
 }
 
-// heldEnd is a pending end in such an entry.
+// heldEnd is a pending end in a heldRequest.
 type heldEnd struct {
 	Incarnation quarantine.Incarnation `json:"incarnation"`
-	// EndedMS is when it ended in milliseconds of the Unix epoch. It decides when the end is
-	// decided, and the request does not run before.
+	// EndedMS is when the server ended, in milliseconds since the Unix epoch. It determines when the
+	// pending end is decided; the request does not run before that.
 	EndedMS int64 `json:"endedMs"`
 }
 
@@ -48,7 +49,7 @@
 	return h
 }
 
-// matches reports whether the entry has what is known of a request.
+// matches reports whether the entry agrees with a record of the ledger.
 func (h heldRequest) matches(r quarantine.Record) bool {
 	return slices.Equal(h.Crashes, r.Crashes) && slices.Equal(h.Alone, r.Alone) &&
 		slices.EqualFunc(h.Pending, r.Pending, func(a heldEnd, b quarantine.PendingEnd) bool { return a.Incarnation == b.Incarnation })
@@ -65,7 +66,7 @@
 	return r
 }
 
-// load takes over what the store has, and reports whether it could be read.
+// load merges the entries in the store, and reports whether they could be read.
 func (q *quarantineManager) load(ctx context.Context) bool {
 	snap, err := q.store.List(ctx, prefixQuarantine)
 	if err != nil {
@@ -76,7 +77,7 @@
 	for _, obj := range snap.Objects {
 		var h heldRequest
 		if err := json.Unmarshal(obj.Value, &h); err != nil {
-			q.log.WithFields(logrus.Fields{"key": obj.Key, "error": err}).Error("entry of a held request cannot be read")
+			q.log.WithFields(logrus.Fields{"key": obj.Key, "error": err}).Error("entry of a held request cannot be decoded")
 			continue
 		}
 		records = append(records, h.decode(serving.Fingerprint(obj.Key[len(prefixQuarantine):]), now))
@@ -86,7 +87,7 @@
 	return true
 }
 
-// write brings the store up to date with what has changed.
+// write updates the entries in the store that are out of date.
 func (q *quarantineManager) write(ctx context.Context) {
 	q.mu.Lock()
 	pending := slices.Sorted(maps.Keys(q.unwritten))
@@ -94,10 +95,10 @@
 	for _, fp := range pending {
 		err := q.writeOne(ctx, fp)
 		if errors.Is(err, store.ErrConflict) {
-			continue // another instance was faster; what it wrote is read first next time
+			continue // another instance has written the entry; the next attempt reads that first
 		}
 		if err != nil {
-			return // the store is away; all are tried again
+			return // the store is unavailable; all are retried
 		}
 		q.mu.Lock()
 		delete(q.unwritten, fp)
@@ -105,8 +106,8 @@
 	}
 }
 
-// writeOne writes what is known of a request, together with what the store knows, or removes
-// it if nothing counts against it.
+// writeOne merges a request's entry in the store into the ledger and writes the result, or deletes the
+// entry if nothing counts against the request any more.
 func (q *quarantineManager) writeOne(ctx context.Context, fp serving.Fingerprint) error {
 	key := prefixQuarantine + string(fp)
 	now := time.Now()
--- a/entry/quarantine_urgent.go
+++ b/entry/quarantine_urgent.go
@@ -10,14 +10,14 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// The holder tells all instances at once of a request that is held since a moment. They hear of it
-// with the answers to their reports anyway, up to a second later in a large fleet, and by then
-// clients have come again with it to instances that have not.
+// The holder notifies all instances at once of a request that has just become held. They also learn of
+// it from the answers to their reports, but in a large fleet that takes up to a second, and by then
+// clients have repeated the request at instances that do not know of it yet.
 
-// minUrgentInterval is the least pause between two rounds of calls to all instances.
+// minUrgentInterval is the minimum pause between two rounds of calls to all instances.
 const minUrgentInterval = 100 * time.Millisecond
 
-// scheduleUrgent has all other instances be told of requests at once.
+// scheduleUrgent schedules notifying all other instances of requests.
 func (q *quarantineManager) scheduleUrgent(raised []quarantine.Raise) {
 	q.mu.Lock()
 	for _, r := range raised {
@@ -27,7 +27,7 @@
 	pause.Wake(q.urgentRequested)
 }
 
-// runUrgent tells all other instances of requests that are held since a moment, until ctx ends.
+// runUrgent notifies all other instances of requests that have just become held, until ctx ends.
 func (q *quarantineManager) runUrgent(ctx context.Context) {
 	for {
 		select {
@@ -40,7 +40,8 @@
 	}
 }
 
-// sendUrgent tells all other instances once. Who is not reached hears of it with its next report.
+// sendUrgent notifies all other instances once. An instance that is not reached learns of the requests
+// with its next report.
 func (q *quarantineManager) sendUrgent(ctx context.Context) {
 	q.mu.Lock()
 	urgent := q.urgent
@@ -61,8 +62,8 @@
 	})
 }
 
-// othersOrCached returns the addresses of all other instances, as they were last read where the store
-// does not answer soon.
+// othersOrCached returns the addresses of all other instances, as last read if the store does not
+// answer within minUrgentInterval.
 func (q *quarantineManager) othersOrCached(ctx context.Context) []string {
 	ctx, cancel := context.WithTimeout(ctx, minUrgentInterval)
 	defer cancel()
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -14,12 +14,11 @@
 	"github.com/martenport/martenport/platform"
 )
 
-// settingsPollInterval is how often the settings file is looked at: the platform may
-// change it without a signal.
+// settingsPollInterval is how often the settings file is checked. The platform may change it without a
+// signal.
 const settingsPollInterval = 2 * time.Second
 
-// reload takes over changed settings, at SIGHUP and whenever the file has
-// changed, until ctx ends.
+// reload applies changed settings on SIGHUP and when the file has changed, until ctx ends.
 func (i *Instance) reload(ctx context.Context) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -38,11 +37,11 @@
 	}
 }
 
-// reloadOnce reads the file. Settings that cannot be used leave those in force.
+// reloadOnce reads the settings file. If the settings are invalid, those in force are kept.
 func (i *Instance) reloadOnce(cause string) {
 	s, err := platform.LoadSettings(i.path)
 	if err != nil {
-		i.log.WithFields(logrus.Fields{"cause": cause, "error": err}).Error("settings cannot be used, those in force stay")
+		i.log.WithFields(logrus.Fields{"cause": cause, "error": err}).Error("invalid settings, keeping those in force")
 		return
 	}
 	old := i.settings.Load()
@@ -57,15 +56,16 @@
 	i.log.WithFields(logrus.Fields{"cause": cause, "restart_needed": startupSettingsOf(s) != startupSettingsOf(*old)}).Info("settings reloaded")
 }
 
-// startupSettings are in force from the start of a process to its end.
+// startupSettings are the settings that only take effect when a process starts.
 type startupSettings struct{ name, ip, zone, frontend, ready, store, peers string }
 
 func startupSettingsOf(s platform.Settings) startupSettings {
 	return startupSettings{s.NodeName, s.IP, s.Zone, s.Listen.Frontend, s.Listen.Ready, s.Platform.Address, s.PeerAddress()}
 }
 
-// budgetParams returns the bounds of repeated sends. The instance reports the failure
-// domain of its start: fewer domains than then would give each a part that is too large.
+// budgetParams returns the limits on repeated sends. The number of failure domains is at least the one
+// at the start of the instance, since the instance goes on reporting its failure domain of then, and a
+// lower number would make each domain's part too large.
 func (i *Instance) budgetParams(s *platform.Settings) forward.BudgetParams {
 	return forward.BudgetParams{
 		Ratio: s.Bounds.BudgetRatio, Extra: s.Bounds.BudgetExtra, Window: s.BudgetWindow(), Domains: max(i.startDomains, s.SharingDomains()),
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -120,6 +120,7 @@
 // DrawReply is the holder's answer to DrawArgs.
 type DrawReply struct{ quota.Answer }
 
+// WantArgs asks where a unit is or will be loaded.
 type WantArgs struct{ holder.Request }
 
 // WantReply has the engine where a unit is or will be loaded. Held is false if the answering instance
--- a/entry/serverlimiter.go
+++ b/entry/serverlimiter.go
@@ -176,9 +176,9 @@
 		return answer.Granted, max(minTurnRetry, answer.After)
 	}
 	i.mu.Lock()
-	lent := i.lastLent
+	lastLent := i.lastLent
 	i.mu.Unlock()
-	granted, after = i.uncoordinated.Take(s.ID, rate, i.members.namesInDomain(s.FailureDomain), lent, clock.Now())
+	granted, after = i.uncoordinated.Take(s.ID, rate, i.members.namesInDomain(s.FailureDomain), lastLent, clock.Now())
 	if after == 0 {
 		after = noShareRetry
 	}
--- a/entry/takeover.go
+++ b/entry/takeover.go
@@ -14,35 +14,35 @@
 	"github.com/martenport/martenport/store"
 )
 
-// Times of taking over from a holder.
+// Time limits for taking over from a holder.
 const (
-	// maxFindInterval is the longest pause between readings of the lease's record
-	// while the holder does not answer.
+	// maxFindInterval is the maximum pause between reads of the lease's record while the holder does
+	// not answer.
 	maxFindInterval = 800 * time.Millisecond
-	// suspectAfter without an answer, and suspectMisses reports in a row, an
-	// instance may want to take over.
+	// An instance may take over if the holder has not answered for suspectAfter, and at least
+	// suspectReports reports in a row.
 	suspectAfter   = 1500 * time.Millisecond
 	suspectReports = 3
-	// isolatedAfter it takes over though half of the others do not answer it either:
-	// longer than most cuts last, since taking over from a holder that is well
-	// costs those that reach it a take-over.
+	// isolatedAfter is the time without an answer after which an instance takes over even if half or
+	// more of the other instances do not answer it either. It is longer than most network partitions,
+	// since replacing a healthy holder costs the instances that reach it a takeover.
 	isolatedAfter = 10 * time.Second
-	// registrationWait lets instances that start together register, before the first
-	// of them takes the lease.
+	// registrationWait lets instances that start together register before the first of them takes the
+	// lease.
 	registrationWait = 500 * time.Millisecond
-	// takeoverSpread is how much later than the strongest instance one without
-	// any processor time would take over: longer than two reports are apart, so
-	// that the strong have noticed by then.
+	// takeoverSpread is how much later than the strongest instance one without any processor time
+	// would take over. It is longer than the interval between two reports, so that the strong
+	// instances have noticed the loss by then.
 	takeoverSpread = 1500 * time.Millisecond
-	// takeoverJitter spreads instances that suspect at the same time.
+	// takeoverJitter spreads the attempts of instances that suspect the holder at the same time.
 	takeoverJitter = 200 * time.Millisecond
-	// votersPerDomain is how many instances of each failure domain are asked
-	// before a take-over.
+	// votersPerDomain is the number of instances of each failure domain that are asked before a
+	// takeover.
 	votersPerDomain = 2
 )
 
-// retryFind reads who the holder is, less and less often while nothing changes,
-// and not at all while the store does not answer: its watch notices its return.
+// retryFind reads who the holder is, less frequently while nothing changes, and not at all while the
+// store is down, since the watch detects its return.
 func (f *follower) retryFind(ctx context.Context) {
 	now := clock.Now()
 	f.mu.Lock()
@@ -56,8 +56,9 @@
 	}
 }
 
-// findStale reads who the holder is, by an answer that may be seconds old: a new holder also
-// announces itself. Whatever this instance then does about the lease rests on a fresh one.
+// findStale reads who the holder is from an answer that may be seconds old, which is enough because a
+// new holder also announces itself. Before it acts on the lease, the instance reads the record again
+// with a fresh answer.
 func (f *follower) findStale(ctx context.Context) {
 	record, revision, ok := f.readRecord(store.AllowStale(ctx))
 	if !ok {
@@ -69,7 +70,7 @@
 	}
 }
 
-// find reads who the holder is.
+// find reads who the holder is, and takes over a lease that is vacant or this instance's own.
 func (f *follower) find(ctx context.Context) {
 	record, revision, ok := f.readRecord(ctx)
 	if !ok {
@@ -82,8 +83,8 @@
 	}
 }
 
-// readRecord reads and takes over the lease's record. ok is false if the store does not
-// answer, which its client logs.
+// readRecord reads and applies the lease's record. ok is false if the store does not answer, which its
+// client logs.
 func (f *follower) readRecord(ctx context.Context) (record lease.Record, revision store.Revision, ok bool) {
 	record, revision, err := f.holder.Current(ctx)
 	if err != nil {
@@ -94,14 +95,14 @@
 	return record, revision, true
 }
 
-// applyRecord takes over who the holder is, unless a newer one is known.
+// applyRecord updates the known holder, unless a newer one is known.
 func (f *follower) applyRecord(record lease.Record, source string) {
 	f.mu.Lock()
 	released := record.Fence == f.record.Fence && record.Released && !f.record.Released
 	changed := record.Fence > f.record.Fence || released
 	if changed {
 		f.record = record
-		f.lastAnswer, f.unansweredReports = clock.Now(), 0 // a new holder gets its time to answer
+		f.lastAnswer, f.unansweredReports = clock.Now(), 0 // a new holder gets the full time to answer
 	}
 	f.mu.Unlock()
 	if changed {
@@ -110,18 +111,18 @@
 	f.holder.Deposed(record.Fence)
 }
 
-// takeVacant takes over a lease that nobody holds by the record, read in an era of the store, if no
-// stronger instance does first.
-func (f *follower) takeVacant(ctx context.Context, seen lease.Record, era int64) {
-	if seen.Fence == 0 && !pause.For(ctx, registrationWait) {
+// takeVacant takes over a vacant lease, whose record was read in an era of the store, unless an
+// instance with more processor time does so first.
+func (f *follower) takeVacant(ctx context.Context, vacant lease.Record, era int64) {
+	if vacant.Fence == 0 && !pause.For(ctx, registrationWait) {
 		return
 	}
-	if !f.yieldToStronger(ctx) || f.knownFence() > max(seen.Fence, lease.FirstFence(era)) {
-		return // ended, or another has announced itself
+	if !f.yieldToStronger(ctx) || f.knownFence() > max(vacant.Fence, lease.FirstFence(era)) {
+		return // ctx has ended, or another holder has announced itself
 	}
 	record, revision, err := f.holder.Current(ctx)
-	if err != nil || record.Fence != seen.Fence {
-		return // the store is away, or another was faster
+	if err != nil || record.Fence != vacant.Fence {
+		return // the store is unavailable, or another instance has taken the lease
 	}
 	cause := "free"
 	if record.CameBack(revision.Era()) {
@@ -130,38 +131,38 @@
 	f.takeOver(ctx, record, revision, cause)
 }
 
-// knownFence is the fencing token of the newest holder that is known.
+// knownFence returns the fencing token of the newest known holder.
 func (f *follower) knownFence() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.record.Fence
 }
 
-// suspectsHolder reports whether the holder has been silent for too long.
+// suspectsHolder reports whether the holder has not answered for too long.
 func (f *follower) suspectsHolder() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return clock.Since(f.lastAnswer) > suspectAfter && f.unansweredReports >= suspectReports
 }
 
-// reachesHolder reports whether the named holder has answered of late, and the record
-// that a holder has given up, if one is known.
+// reachesHolder reports whether the named holder has answered recently, and returns the record of a
+// holder that has released the lease, if one is known.
 func (f *follower) reachesHolder(name string, now time.Time) (bool, lease.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.record.Holder == name && now.Sub(f.lastAnswer) < holderTimeout, f.releasedRecord
 }
 
-// recordReleased notes the released record of a holder that could not write it.
-func (f *follower) recordReleased(gaveUp lease.Record) {
+// recordReleased records the released record of a holder that could not write it to the store.
+func (f *follower) recordReleased(record lease.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if gaveUp.Fence > f.releasedRecord.Fence {
-		f.releasedRecord = gaveUp
+	if record.Fence > f.releasedRecord.Fence {
+		f.releasedRecord = record
 	}
 }
 
-// withRelease returns record, or what its holder has said of giving it up.
+// withRelease returns record, or the released version of it that its holder has reported.
 func (f *follower) withRelease(record lease.Record) lease.Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,8 +172,8 @@
 	return record
 }
 
-// considerTakeover takes over from a silent holder, unless another instance still
-// reaches it or this one is cut off from most others.
+// considerTakeover takes over from a holder that does not answer, unless another instance still
+// reaches it or this instance is cut off from most others.
 func (f *follower) considerTakeover(ctx context.Context) {
 	f.mu.Lock()
 	suspect, unanswered := f.record.Holder, clock.Since(f.lastAnswer)
@@ -181,25 +182,25 @@
 		return
 	}
 	asked, answered, reached := f.pollReachability(ctx, suspect)
-	cutOff := 2*answered <= asked // then the holder may be well, and reach most others
+	cutOff := 2*answered <= asked // then the holder may be healthy and reach most other instances
 	if reached || cutOff && unanswered < isolatedAfter {
 		return
 	}
 	record, revision, err := f.holder.Current(ctx)
 	if err != nil || record.Holder != suspect && !record.CameBack(revision.Era()) {
-		return // the store is away, or another was faster
+		return // the store is unavailable, or another instance has taken the lease
 	}
 	f.takeOver(ctx, record, revision, "silent")
 }
 
-// yieldToStronger lets stronger instances go first: the holder's work grows with the
-// fleet, and one without processor time for it would soon be suspected itself.
+// yieldToStronger waits to let instances with more processor time go first. The holder's load grows
+// with the fleet, and a holder without enough processor time would soon be suspected itself.
 func (f *follower) yieldToStronger(ctx context.Context) bool {
 	return pause.For(ctx, f.members.takeoverDelay(ctx, takeoverSpread)+rand.N(takeoverJitter))
 }
 
-// pollReachability asks a few instances of each failure domain at once whether they reach
-// the holder. asked counts them, answered those that answered.
+// pollReachability asks a few instances of each failure domain concurrently whether the holder answers
+// them. asked is the number of those asked, and answered the number of those that answered.
 func (f *follower) pollReachability(ctx context.Context, suspect string) (asked, answered int, reached bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -230,7 +231,7 @@
 	return len(addresses), answered, reached
 }
 
-// stopTakeovers has the instance take nothing over any more.
+// stopTakeovers makes the instance never take over the lease again.
 func (f *follower) stopTakeovers() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -255,5 +256,5 @@
 		f.holder.ExpectInstances(names)
 	}
 	f.find(ctx)
-	go f.announce(ctx) // some instances may be out of reach, which takes a while
+	go f.announce(ctx) // in the background, since calls to unreachable instances take time
 }
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -75,7 +75,7 @@
 
 // reportProgress returns the number of reports in a row that the holder has not answered, and the last
 // change of the ledger that it has received.
-func (f *follower) reportProgress() (unanswered int, delivered uint64) {
+func (f *follower) reportProgress() (unansweredCount int, delivered uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unansweredReports, f.link.Sent()
--- a/entry/use.go
+++ b/entry/use.go
@@ -7,13 +7,13 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Where instances report less often than requests last, the holder is told at once of a
-// request for a unit that one engine alone has: such copies look idle between reports, and
-// are the ones that are evicted. On a quiet day with 195 instances 97 of 1,024 loads waited
-// 2.4 s for a request that had begun since the last report. Copies of popular models need no
-// such word: some request runs on them in every report.
+// If the report interval is longer than most requests, the holder is notified at once of a request for
+// a unit that only one engine has. Such copies look idle between reports and are the ones that get
+// evicted. On a quiet day with 195 instances, 97 of 1,024 loads waited 2.4 s for a request that had
+// begun since the last report. Copies of popular models need no notification, since every report
+// contains requests that run on them.
 
-// reportUse tells the holder that a request begins, unless reports are frequent enough.
+// reportUse notifies the holder that a request begins, unless reports are frequent enough.
 func (f *follower) reportUse(engine string, unit serving.Unit) {
 	if f.reportInterval() <= exchangeInterval {
 		return
@@ -26,6 +26,6 @@
 	}
 	go func() {
 		args := &UseArgs{holder.Use{Engine: engine, Unit: unit}}
-		_ = f.call(context.Background(), record, callTimeout, methodUse, args, &UseReply{}) // the next report says so, too
+		_ = f.call(context.Background(), record, callTimeout, methodUse, args, &UseReply{}) // on failure, the next report has the request
 	}()
 }
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -16,21 +16,20 @@
 	"github.com/martenport/martenport/store"
 )
 
-// Times of watching the store.
+// Intervals of watching the store.
 const (
-	// watchRetry is the pause after a call that failed; it doubles up to
-	// maxWatchRetry, which is short against the seconds in which a
-	// configuration must be in force.
+	// watchRetry is the pause after a failed call. It doubles up to maxWatchRetry, which is short
+	// compared with the seconds within which a configuration must be in force.
 	watchRetry    = 200 * time.Millisecond
 	maxWatchRetry = 800 * time.Millisecond
-	// serversPause is the least time from one call for servers to the next, in which changes
-	// gather; it is short against the seconds in which a leaving server must be noticed.
+	// serversPause is the minimum time between two calls for servers, during which changes accumulate.
+	// It is short compared with the seconds within which a leaving server must be noticed.
 	serversPause = 250 * time.Millisecond
 )
 
-// watcher keeps the directory up with the store: by watches of its own at the
-// holder of the lease and wherever the holder's word is not recent, else by that
-// word. So calls to the store do not grow with the number of instances.
+// watcher keeps the directory consistent with the store. The lease holder, and any instance whose last
+// update from the holder is too old, watches the store itself; all others use the holder's updates. So
+// the number of calls to the store does not grow with the number of instances.
 type watcher struct {
 	store    store.Store
 	dir      *directory.Directory
@@ -38,53 +37,55 @@
 	balancer *balance.Balancer
 	crashes  *crashDetector
 	log      logrus.FieldLogger
-	// isHolder reports whether this instance isHolder the lease.
+	// isHolder reports whether this instance holds the lease.
 	isHolder func() bool
-	// declaration is nil where no operators are answered.
+	// declaration is nil if the operators' interface is disabled.
 	declaration *declarationState
 	// configAvailable wakes the watch of the configuration when there is a newer one.
 	configAvailable chan struct{}
 
 	mu sync.Mutex
-	// storeDown is whether the store was not there when it was last heard of, and returned when it was
-	// again: by own calls, of which the last that failed was begun at lastFailed, or by the
-	// holder's word; guarded by mu.
+	// storeDown is whether the store was last known to be down, and regainedAt when it was next known
+	// to be up, from an own call or the holder's update. lastFailedStart is when the last failed call,
+	// other than a watch, began. All are guarded by mu.
 	storeDown                   bool
 	regainedAt, lastFailedStart time.Time
 	// failed is whether the last call for a prefix failed; guarded by mu.
 	failed map[string]bool
-	// outageStart is when the first call was begun that failed since the last
-	// success, and lastSuccess when that success was; guarded by mu.
+	// outageStart is when the first failed call since the last successful one began, zero if there is
+	// none. lastSuccess is when the last successful call began. Both are guarded by mu.
 	outageStart, lastSuccess time.Time
-	// holderUpdateAt is as of when the holder's last holderUpdateAt was that was taken, and lifetime for how long
-	// after that it lasts; guarded by mu.
+	// holderUpdateAt is the time for which the last applied update from the holder was current, and
+	// holderUpdateLifetime for how long after that it is used; guarded by mu.
 	holderUpdateAt       time.Time
 	holderUpdateLifetime time.Duration
-	// maxUpdateAge returns how old the holder's word may become.
+	// maxUpdateAge returns how old the holder's update may become.
 	maxUpdateAge func() time.Duration
-	// usingHolder is whether the holder's word is taken at present; guarded by mu.
+	// usingHolder is whether the holder's updates are currently used; guarded by mu.
 	usingHolder bool
-	// started is when the instance started to watch.
+	// started is when the instance began to watch.
 	started time.Time
-	// latestConfigVersion is the newest configuration's version that was heard of; guarded
-	// by mu.
+	// latestConfigVersion is the highest version of a configuration that the holder has reported;
+	// guarded by mu.
 	latestConfigVersion int64
-	// latestConfigUnreadable: the newest configuration cannot be read; guarded by mu.
+	// latestConfigUnreadable is whether the latest configuration cannot be decoded; guarded by mu.
 	latestConfigUnreadable bool
-	// syncedAt is as of when what the store has under a prefix is known here; guarded by mu.
+	// syncedAt has, by prefix, the time for which the copy of the objects is known to be complete;
+	// guarded by mu.
 	syncedAt map[string]time.Time
-	// era is the store's, and eraBegan when it was first heard of; guarded by mu.
+	// era is the store's era, and eraStart when the instance learned of a change of the era; guarded
+	// by mu.
 	era      int64
 	eraStart time.Time
-	// onNewEra is told of each new era, and cameBack of each but the first one that is heard of: whether
-	// the store has said so to this instance.
+	// onNewEra is called with each era. onRestored is called with each but the first; fromStore is
+	// whether the era was read from an answer of the store.
 	onNewEra   func(era int64)
-	onRestored func(told bool)
-	// lapsed are servers whose entries are missing, with the revision of that.
+	onRestored func(fromStore bool)
+	// lapsed are servers whose entries are missing, with the revision at which they were missing.
 	lapsed map[string]store.Revision // guarded by mu
 }
 
-// newWatcher returns a watcher; bound returns how old the holder's word may become.
+// newWatcher returns a watcher. maxUpdateAge returns how old the holder's update may become.
 func newWatcher(s store.Store, dir *directory.Directory, b *platform.Backends, balancer *balance.Balancer, isHolder func() bool, maxUpdateAge func() time.Duration, log logrus.FieldLogger) *watcher {
 	return &watcher{
 		store: s, dir: dir, backends: b, balancer: balancer, isHolder: isHolder, maxUpdateAge: maxUpdateAge, log: log, configAvailable: make(chan struct{}, 1),
@@ -92,7 +93,7 @@
 	}
 }
 
-// run watches until ctx ends.
+// run watches the store until ctx ends.
 func (w *watcher) run(ctx context.Context) {
 	w.mu.Lock()
 	w.started = clock.Now()
@@ -107,12 +108,11 @@
 	work.Wait()
 }
 
-// relayCheckInterval is how often an instance that takes the holder's word looks
-// whether it still does.
+// relayCheckInterval is how often an instance that uses the holder's updates checks whether they are
+// still fresh.
 const relayCheckInterval = 100 * time.Millisecond
 
-// newerConfigKnown reports whether a newer configuration than the one in force was
-// heard of.
+// newerConfigKnown reports whether a newer configuration than the one in force is known to exist.
 func (w *watcher) newerConfigKnown() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,30 +120,29 @@
 	return w.latestConfigVersion > 0 && (config == nil || config.Version < w.latestConfigVersion)
 }
 
-// firstUpdateWait is how long an instance that starts waits for the holder's word before it
-// reads the list of servers itself, and watches. Where all start at once the first holder
-// is known to them after about a second. 195 instances that did not wait made 3,225 calls
-// before their first request, 16 each. The configuration is read once without waiting: an
-// instance refuses everything before it has one.
+// firstUpdateWait is how long an instance that starts waits for the holder's update before it reads
+// the list of servers itself, and watches. If all instances start at once, they know the first holder
+// after about a second; 195 instances that did not wait made 3,225 calls before their first request,
+// 16 each. The configuration is read once without waiting, since an instance refuses all requests
+// before it has one.
 const firstUpdateWait = 1500 * time.Millisecond
 
-// awaitsFirstUpdate reports whether the holder's first word may still come.
+// awaitsFirstUpdate reports whether the holder's first update may still arrive.
 func (w *watcher) awaitsFirstUpdate(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.holderUpdateAt.IsZero() && now.Sub(w.started) < firstUpdateWait
 }
 
-// configUnread reports whether the configuration has not been read at all yet.
+// configUnread reports whether prefix is the configuration's and it has never been read.
 func (w *watcher) configUnread(prefix string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return prefix == platform.KeyConfig && w.syncedAt[prefix].IsZero()
 }
 
-// watch reads all objects under prefix once and then what changes, while the
-// holder's word is not relied on. full is whether apply gets all objects or only
-// changes.
+// watch reads all objects under prefix once and then their changes, while the holder's updates are not
+// used. It calls apply with full set if the snapshot has all objects, and not only changes.
 func (w *watcher) watch(ctx context.Context, prefix string, pauseAfter time.Duration, apply func(snap store.Snapshot, full bool)) {
 	revision := store.Revision(-1)
 	retry := watchRetry
@@ -160,7 +159,7 @@
 		snap, err := w.readOrWatch(store.WaitAtMost(ctx, hold), prefix, revision)
 		w.recordCall(prefix, started, revision >= 0, err)
 		if err != nil && revision >= 0 {
-			revision = -1 // all is listed: the store answers that even where a watch hears nothing
+			revision = -1 // list again: the store may answer a List even if a watch gets no answer
 			continue
 		}
 		if err != nil {
@@ -186,8 +185,8 @@
 	}
 }
 
-// waitIfNotNeeded lets some time pass if the store need not be asked now, and reports whether it
-// did: another watch tries whether the store is back, or the holder's word is recent.
+// waitIfNotNeeded waits for some time if the store need not be called now, and reports whether it did:
+// another watch checks whether the store is back, or the holder's updates are fresh.
 func (w *watcher) waitIfNotNeeded(ctx context.Context, prefix string) bool {
 	if prefix != platform.KeyConfig && w.allFailed(prefix) {
 		pause.For(ctx, relayCheckInterval)
@@ -207,8 +206,9 @@
 	return true
 }
 
-// watchDuration is how long the store holds a watch without news: at the holder for a short time,
-// as each answer tells that there is none, and all others hear that from it.
+// watchDuration returns how long the store holds a watch without events. It is short at the holder,
+// since each answer confirms that nothing has changed, and all other instances learn that from the
+// holder.
 func (w *watcher) watchDuration() time.Duration {
 	if w.isHolder() {
 		return holderWatchWait
@@ -216,17 +216,17 @@
 	return watchWait
 }
 
-// gatherPause is the pause that gathers changes: the holder's is shorter, since all
-// others hear from it.
-func (w *watcher) gatherPause(own time.Duration) time.Duration {
+// gatherPause returns the pause in which changes accumulate. It is shorter at the holder, since all
+// others get the changes from it.
+func (w *watcher) gatherPause(base time.Duration) time.Duration {
 	if w.isHolder() {
-		return own
+		return base
 	}
-	return 2 * own
+	return 2 * base
 }
 
-// waitForUpdate waits for news of the configuration, or until it is time to look whether
-// the holder's word is still relied on.
+// waitForUpdate waits until a newer configuration is known, or until it is time to check whether the
+// holder's updates are still fresh.
 func (w *watcher) waitForUpdate(ctx context.Context, prefix string) {
 	if prefix != platform.KeyConfig {
 		pause.For(ctx, relayCheckInterval)
@@ -242,7 +242,7 @@
 	return w.store.Watch(ctx, prefix, revision)
 }
 
-// logSource logs from where the servers are known, when that changes.
+// logSource logs when the source of the servers changes between the store and the holder.
 func (w *watcher) logSource(prefix string, fromHolder bool) {
 	if prefix != platform.PrefixServers {
 		return
@@ -256,8 +256,8 @@
 	w.log.WithFields(logrus.Fields{"from_holder": fromHolder, "word_ms": clock.Since(w.holderUpdateAt).Milliseconds(), "servers_age_ms": clock.Since(w.syncedAt[platform.PrefixServers]).Milliseconds()}).Info("source of the servers changed")
 }
 
-// recordCall notes how a call ended that was begun at started. A watch that was not answered says
-// nothing of the store, which the reading after it does.
+// recordCall records the result of a call that began at started. A failed watch does not show whether
+// the store is down; the List after it does.
 func (w *watcher) recordCall(prefix string, started time.Time, watching bool, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -281,8 +281,8 @@
 	}
 }
 
-// markRegained needs mu. It notes that the store was there at a time, by whose word: entries that
-// lapsed before may be back in a moment.
+// markRegained records that the store was up at a time, according to source. Entries that lapsed
+// before may be written again shortly. w.mu must be held.
 func (w *watcher) markRegained(at time.Time, source string) {
 	if !w.storeDown {
 		return
@@ -291,31 +291,30 @@
 	w.log.WithField("source", source).Info("store regained")
 }
 
-// allFailed reports whether the last call for a prefix failed, and that for the configuration,
-// which tries whether the store is back.
+// allFailed reports whether the last calls for a prefix and for the configuration failed. The watch of
+// the configuration checks whether the store is back.
 func (w *watcher) allFailed(prefix string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failed[prefix] && w.failed[platform.KeyConfig]
 }
 
-// storeLost reports whether the last call failed.
+// storeLost reports whether the store was last known to be down.
 func (w *watcher) storeLost() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.storeDown
 }
 
-// outageSince returns when the first call was begun that failed since the store last
-// answered; zero while it answers.
+// outageSince returns when the first failed call since the store's last answer began, the zero time
+// while the store answers.
 func (w *watcher) outageSince() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.outageStart
 }
 
-// answeredSince reports whether the store has answered a call that was begun
-// after t.
+// answeredSince reports whether the store has answered a call that began after t.
 func (w *watcher) answeredSince(t time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/entry/watch_apply.go
+++ b/entry/watch_apply.go
@@ -14,7 +14,7 @@
 	"github.com/martenport/martenport/store"
 )
 
-// What a watcher takes over from the store.
+// The functions that apply what the watcher reads from the store.
 
 func (w *watcher) applyConfig(snap store.Snapshot, _ bool) {
 	for _, obj := range snap.Objects {
@@ -23,7 +23,7 @@
 		}
 		config, err := platform.DecodeConfig(obj.Value)
 		if err != nil {
-			w.log.WithFields(logrus.Fields{"revision": obj.Version, "error": err}).Error("configuration cannot be read, the one in force stays")
+			w.log.WithFields(logrus.Fields{"revision": obj.Version, "error": err}).Error("configuration cannot be read, keeping the one in force")
 			w.setUnreadable(true)
 			continue
 		}
@@ -34,19 +34,18 @@
 	}
 }
 
-// setUnreadable notes whether the newest configuration can be read.
+// setUnreadable records whether the latest configuration cannot be decoded.
 func (w *watcher) setUnreadable(unreadable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.latestConfigUnreadable = unreadable
 }
 
-// confirmConfig notes that all configurations that had been accepted at a time were heard of. While
-// the newest cannot be read, that does not make the one in force current: it may have keys
-// that the newest has not.
+// confirmConfig records that all configurations accepted before a time are known. While the latest one
+// cannot be decoded, the one in force is not confirmed: it may have keys that the latest one lacks.
 func (w *watcher) confirmConfig(at time.Time) {
 	if w.restoredWithin(directory.LapseGrace) {
-		return // the copy may have an older one, and the newest is written again
+		return // the copy may have an older configuration, and the latest one is written again
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,8 +85,8 @@
 	}
 }
 
-// recordMassLapse notes that most entries are missing at once: servers do not leave like that, and
-// the store was away for so short a time that no call of this instance has failed.
+// recordMassLapse records that most entries are missing at once. Servers do not leave like that: the
+// store was down for so short a time that no call of this instance failed.
 func (w *watcher) recordMassLapse(missing, known int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,7 +103,7 @@
 	_, known := w.dir.Server(server.ID)
 	w.crashes.handleAnnounced(server)
 	if before, found := w.dir.Server(server.ID); found && before.Before(server) {
-		w.backends.Forget(server.ID) // those connections are to the process before
+		w.backends.Forget(server.ID) // the connections are to the previous process
 		w.balancer.Forget(server.ID)
 	}
 	if w.dir.ApplyServer(server, clock.Now()) {
@@ -118,8 +117,8 @@
 	}
 }
 
-// logLeaving logs that a server is known to be leaving, by whose word, and how old what was
-// known of the servers before, or is by that word, has become.
+// logLeaving logs that a server is leaving and which source reported it. age is the age of the list of
+// servers from that source.
 func (w *watcher) logLeaving(id, source string, age time.Duration) {
 	server, _ := w.dir.Server(id)
 	w.log.WithFields(logrus.Fields{
@@ -128,14 +127,16 @@
 	}).Info("server leaving")
 }
 
-// removeUnreadable has a server not be used whose entry cannot be read: another writer has left it.
+// removeUnreadable removes a server whose entry cannot be decoded, since another writer has
+// written it.
 func (w *watcher) removeUnreadable(server serving.Server) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.removeServer(server.ID, server.Revision)
 }
 
-// handleMissing removes a server whose entry is gone, or waits while it may be back.
+// handleMissing removes a server whose entry is missing, or waits while the entry may be written
+// again.
 func (w *watcher) handleMissing(id string, revision store.Revision) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -146,7 +147,7 @@
 	w.removeServer(id, revision)
 }
 
-// removeServer needs mu.
+// removeServer removes a server from the directory. w.mu must be held.
 func (w *watcher) removeServer(id string, revision store.Revision) {
 	delete(w.lapsed, id)
 	if w.dir.RemoveServer(id, revision, clock.Now()) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// dropServer drops what was kept for a server that is gone.
+// dropServer drops the state of a removed server.
 func (w *watcher) dropServer(id string, revision store.Revision) {
 	w.crashes.handleEntryRemoved(id, w.dir.Drained(id))
 	w.backends.Forget(id)
@@ -162,10 +163,10 @@
 	w.log.WithFields(logrus.Fields{"server": id, "revision": revision}).Info("server gone")
 }
 
-// sweepInterval is how often lapsed entries are looked at.
+// sweepInterval is how often missing entries are checked.
 const sweepInterval = 200 * time.Millisecond
 
-// sweep removes what has not come back in its grace, and old memories.
+// sweep removes servers whose entries are still missing after the grace period, and expired state.
 func (w *watcher) sweep(ctx context.Context) {
 	for pause.For(ctx, sweepInterval) {
 		w.mu.Lock()
