--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry wires an entry instance that runs on the users' platform: it
-// answers clients' requests, keeps up with the store, reports to the holder of
-// the lease or is the holder itself. It is the library behind martenentryd.
+// Package entry implements an entry instance on the users' platform. An instance answers clients'
+// requests, keeps its copy of the store current, and either reports to the holder of the lease or is
+// the holder itself. The program martenentryd is built on this package.
 package entry
 
 import (
@@ -30,141 +30,144 @@
 	"github.com/martenport/martenport/table"
 )
 
-// Times and rates of calls to the store.
+// Time limits and rates of calls to the store.
 const (
-	// storeTimeout is many times the store's usual answer of a few
-	// milliseconds, and still lets a silent store be noticed within a second.
+	// storeTimeout is many times the store's usual latency of a few milliseconds, and still detects a
+	// store that does not answer within a second.
 	storeTimeout = time.Second
-	// watchWait is how long the store holds a watch without news.
+	// watchWait is how long the store holds a watch without events.
 	watchWait = time.Second
-	// holderWatchWait is the same at the holder: what all others know is older by it, and it
-	// makes as many calls for it as it has times in a second.
+	// holderWatchWait is watchWait at the holder. It adds to the age of the data of all other
+	// instances, and the holder makes one call per holderWatchWait.
 	holderWatchWait = 400 * time.Millisecond
-	// watchGrace is how long after that a watch may be answered: several times what a slow
-	// store takes.
+	// watchGrace is how long after its wait a watch may be answered: several times the latency of a
+	// slow store.
 	watchGrace = 600 * time.Millisecond
-	// storeRate is an instance's calls a second at the most; usual are two.
-	storeRate   = 40
-	readRetries = 1
+	// storeCallsPerSecond is the maximum rate of an instance's calls to the store. The usual rate is
+	// two per second.
+	storeCallsPerSecond = 40
+	readRetries         = 1
 )
 
-// Instance is one entry instance.
+// Instance is an entry instance.
 type Instance struct {
-	// path is where the settings were read from, and settings those in force.
+	// path is the file that the settings were read from; settings are those in force.
 	path     string
 	settings atomic.Pointer[platform.Settings]
 	log      *logrus.Logger
 	set      *metrics.Set
 
-	dir       *directory.Directory
-	client    *platform.Client
-	backends  *platform.Backends
-	intake    *intake
-	balancer  *balance.Balancer
-	holder    *holder.Holder
-	follower  *follower
-	members   *members
-	gate      *gate
-	forwarder *forward.Forwarder
-	counts    *forward.Counts
-	keeper    *quarantineKeeper
-	crashes   *crashes
-	budget    *forward.Budget
-	// domains is how many parts the budget had when the instance started.
-	domains  int
-	clients  *clients
-	watcher  *watcher
-	service  *service
-	options  Options
-	declared *declared
+	dir        *directory.Directory
+	client     *platform.Client
+	backends   *platform.Backends
+	limiter    *serverLimiter
+	balancer   *balance.Balancer
+	holder     *holder.Holder
+	follower   *follower
+	members    *members
+	access     *accessControl
+	forwarder  *forward.Forwarder
+	counts     *forward.Counts
+	quarantine *quarantineManager
+	crashes    *crashDetector
+	budget     *forward.Budget
+	// startDomains is the number of failure domains that shared the budget when the instance started.
+	startDomains int
+	clients      *clientServer
+	watcher      *watcher
+	service      *service
+	options      Options
+	declaration  *declarationState
 
 	draining atomic.Bool
-	// left is closed when an operator has the instance leave.
-	left      chan struct{}
-	leaveOnce sync.Once
+	// leaveRequested is closed when an operator asks the instance to leave.
+	leaveRequested chan struct{}
+	leaveOnce      sync.Once
 }
 
 // network opens connections to the store and to other instances.
 type network struct {
-	// store is nil for TCP.
+	// store is nil for plain TCP.
 	store func(ctx context.Context, network, address string) (net.Conn, error)
 	peers rpcpool.Dial
 }
 
-// New wires an instance with the settings read from path. Run starts it.
+// New creates an instance with the settings s, which were read from path. Run starts it.
 func New(s platform.Settings, path string, o Options, log *logrus.Logger) *Instance {
 	return newInstance(s, path, o, network{peers: rpcpool.DialTCP}, log)
 }
 
 func newInstance(s platform.Settings, path string, o Options, n network, log *logrus.Logger) *Instance {
-	i := &Instance{path: path, options: o, left: make(chan struct{}), log: log, set: metrics.NewSet(), dir: directory.New(), backends: platform.NewBackends()}
+	i := &Instance{path: path, options: o, leaveRequested: make(chan struct{}), log: log, set: metrics.NewSet(), dir: directory.New(), backends: platform.NewBackends()}
 	i.settings.Store(&s)
 	i.client = platform.NewClient(platform.ClientParams{
-		BaseURL: "http://" + s.Platform.Address, CallTimeout: storeTimeout, WatchWait: watchWait, WatchGrace: watchGrace, CallsPerSecond: storeRate, ReadRetries: readRetries, Dial: n.store,
+		BaseURL: "http://" + s.Platform.Address, CallTimeout: storeTimeout, WatchWait: watchWait, WatchGrace: watchGrace, CallsPerSecond: storeCallsPerSecond, ReadRetries: readRetries, Dial: n.store,
 	})
 	i.balancer = balance.New(balance.DefaultParams())
-	holding := holder.DefaultParams(s.NodeName, s.PeerAddress(), s.Lease())
-	holding.Bootstrap = s.Bootstrap
+	holderParams := holder.DefaultParams(s.NodeName, s.PeerAddress(), s.Lease())
+	holderParams.Bootstrap = s.Bootstrap
 	if window := s.CeilingWindow(); window > 0 {
-		holding.Fleet.RemoteWindow = window
+		holderParams.Fleet.RemoteWindow = window
 	}
-	holding.Fleet.RemoteOverage = max(holding.Fleet.RemoteOverage, s.Bounds.CeilingOverage)
-	holding.Quota, holding.ServerQuota = quotaParams(&s), backpressure.QuotaParams()
-	i.holder = holder.New(holding, i.client, i.backends, i.dir, holder.NewCounts(i.set), log)
-	i.members = &members{store: i.client, self: member{Name: s.NodeName, Address: s.PeerAddress(), Domain: s.Zone, Cores: s.Cores()}, log: log, eraBegan: make(chan struct{}, 1)}
-	i.intake = newIntake(s.NodeName, i.dir, i.members, i.set, log)
-	i.backends.Listen(i.intake.observe)
-	i.holder.LimitServers(lentLimits{i.intake.ledger})
+	holderParams.Fleet.RemoteOverage = max(holderParams.Fleet.RemoteOverage, s.Bounds.CeilingOverage)
+	holderParams.Quota, holderParams.ServerQuota = quotaParams(&s), backpressure.QuotaParams()
+	i.holder = holder.New(holderParams, i.client, i.backends, i.dir, holder.NewCounts(i.set), log)
+	i.members = &members{store: i.client, self: member{Name: s.NodeName, Address: s.PeerAddress(), Domain: s.Zone, Cores: s.Cores()}, log: log, eraChanged: make(chan struct{}, 1)}
+	i.limiter = newServerLimiter(s.NodeName, i.dir, i.members, i.set, log)
+	i.backends.Listen(i.limiter.observe)
+	i.holder.LimitServers(lendableLimits{i.limiter.ledger})
 	i.follower = newFollower(s.NodeName, i.holder, i.dir, rpcpool.New(n.peers), i.members, log)
-	bound := func() time.Duration { return wordLifetime(i.settings.Load()) }
-	i.watcher = newWatcher(i.client, i.dir, i.backends, i.balancer, i.holder.Holds, bound, log)
-	i.watcher.onEra, i.watcher.cameBack = i.holder.EraBegan, i.storeCameBack
-	i.follower.watcher, i.follower.shares = i.watcher, quota.NewShares(holding.Quota.Lifetime)
-	i.follower.intake = i.intake
-	i.intake.ask, i.intake.report, i.intake.instances = i.follower.turn, i.follower.reportNow, i.follower.knownInstances
-	i.holder.WatchStore(i.watcher.outage)
-	i.declared = &declared{config: &table.Config{}, log: log}
+	maxUpdateAge := func() time.Duration { return updateLifetime(i.settings.Load()) }
+	i.watcher = newWatcher(i.client, i.dir, i.backends, i.balancer, i.holder.Holds, maxUpdateAge, log)
+	i.watcher.onNewEra, i.watcher.onRestored = i.holder.EraBegan, i.handleStoreRestored
+	i.follower.watcher, i.follower.shares = i.watcher, quota.NewShares(holderParams.Quota.Lifetime)
+	i.follower.limiter = i.limiter
+	i.limiter.askTurn, i.limiter.requestReport, i.limiter.instances = i.follower.requestTurn, i.follower.reportNow, i.follower.knownInstances
+	i.holder.WatchStore(i.watcher.outageSince)
+	i.declaration = &declarationState{config: &table.Config{}, log: log}
 	if o.OperatorsPort > 0 {
-		i.holder.Limit(i.declared)
-		i.watcher.declared = i.declared
+		i.holder.Limit(i.declaration)
+		i.watcher.declaration = i.declaration
 	}
-	i.keeper = newQuarantineKeeper(i.client, i.members, i.follower, i.holder.Holds, i.set, log)
-	i.keeper.read.Store(s.Bootstrap) // then the store has nothing
-	i.crashes = newCrashes(i.keeper, i.dir, i.backends, i.set, log)
-	i.follower.raised, i.watcher.crashes = i.keeper.heard, i.crashes
-	i.service = &service{holder: i.holder, follower: i.follower, keeper: i.keeper, trials: quarantine.NewTrials(), intake: i.intake, storeAge: i.watcher.age}
-	i.follower.own = i.service
-	i.domains = s.SharingDomains()
+	i.quarantine = newQuarantineManager(i.client, i.members, i.follower, i.holder.Holds, i.set, log)
+	i.quarantine.loaded.Store(s.Bootstrap) // then the store is empty
+	i.crashes = newCrashDetector(i.quarantine, i.dir, i.backends, i.set, log)
+	i.follower.onRaised, i.watcher.crashes = i.quarantine.recordReceived, i.crashes
+	i.service = &service{holder: i.holder, follower: i.follower, quarantine: i.quarantine, trials: quarantine.NewTrials(), limiter: i.limiter, storeAge: i.watcher.storeAge}
+	i.follower.self = i.service
+	i.startDomains = s.SharingDomains()
 	i.budget = forward.NewBudget(i.budgetParams(&s))
 	i.follower.budget, i.follower.domain = i.budget, s.SharingDomain()
 	i.counts = forward.NewCounts(i.set)
-	i.gate = newGate(i.follower, i.settings.Load, i.set)
-	i.forwarder = forward.New(forward.DefaultParams(s.Zone), i.dir, i.backends, i.follower, i.balancer, i.budget, &crashGuard{crashes: i.crashes, follower: i.follower}, i.gate, i.intake, i.counts, log)
-	i.clients = newClients(i.whileDraining(platform.NewIngress(i.forwarder, i.limits)), i.limits, i.set, log)
+	i.access = newAccessControl(i.follower, i.settings.Load, i.set)
+	i.forwarder = forward.New(forward.DefaultParams(s.Zone), i.dir, i.backends, i.follower, i.balancer, i.budget, &crashGuard{crashDetector: i.crashes, follower: i.follower}, i.access, i.limiter, i.counts, log)
+	i.clients = newClientServer(i.closeWhileDraining(platform.NewIngress(i.forwarder, i.limits)), i.limits, i.set, log)
 	i.addGauges()
 	return i
 }
 
-// Lifetimes of shares of the limits of workspaces.
+// Lifetimes of lent shares of workspaces' limits.
 const (
-	// shortLoan is how long a share lasts without the holder's word where an instance that
-	// is cut off stops to serve: longer than it takes until a lost holder's successor lends,
-	// which is from 2.5 s after the last renewal on, and its first answer to a report.
-	shortLoan = 5 * time.Second
-	// longLoan is how long where it goes on: longer than all but rare cuts.
-	longLoan = 10 * time.Minute
+	// shortLoanLifetime is how long a share lasts without an update from the holder if an instance
+	// that is cut off has to stop serving. It is longer than a successor of a lost holder takes to
+	// lend again, which begins 2.5 s after the last renewal or later, plus the successor's first
+	// answer to a report.
+	shortLoanLifetime = 5 * time.Second
+	// longLoanLifetime is the same if an instance that is cut off goes on serving: longer than all but
+	// rare network partitions.
+	longLoanLifetime = 10 * time.Minute
 )
 
-// quotaParams returns how limits of workspaces are lent.
+// quotaParams returns the parameters for lending the workspaces' limits.
 func quotaParams(s *platform.Settings) quota.Params {
-	p := quota.Params{Window: s.QuotaWindow(), Overage: s.Bounds.QuotaOverage, Slack: s.Bounds.QuotaSlack, Lifetime: longLoan}
+	p := quota.Params{Window: s.QuotaWindow(), Overage: s.Bounds.QuotaOverage, Slack: s.Bounds.QuotaSlack, Lifetime: longLoanLifetime}
 	if s.Bounds.RevokeFailClosed {
-		p.Lifetime = shortLoan
+		p.Lifetime = shortLoanLifetime
 	}
 	return p
 }
 
-// limits returns the limits on clients in force, none before a configuration.
+// limits returns the client limits in force, the zero value before there is a configuration.
 func (i *Instance) limits() serving.Limits {
 	if config := i.dir.Config(); config != nil {
 		return config.Limits
@@ -172,9 +175,9 @@
 	return serving.Limits{}
 }
 
-// whileDraining has clients open their next connection elsewhere once the
-// instance leaves.
-func (i *Instance) whileDraining(next http.Handler) http.Handler {
+// closeWhileDraining makes clients open their next connection to another instance while this one
+// drains.
+func (i *Instance) closeWhileDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if i.draining.Load() {
 			w.Header().Set("Connection", "close")
@@ -183,7 +186,7 @@
 	})
 }
 
-// Ready reports whether clients should be sent here.
+// Ready reports whether clients should be routed to this instance.
 func (i *Instance) Ready() bool {
 	return !i.draining.Load() && i.dir.Config() != nil && len(i.dir.IDs()) > 0
 }
@@ -196,7 +199,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Run serves until ctx ends, then drains and returns.
+// Run serves until ctx ends, a server fails, or an operator asks the instance to leave. It then drains
+// the instance and returns the server's error, if any.
 func (i *Instance) Run(ctx context.Context) error {
 	listeners, err := i.listen()
 	if err != nil {
@@ -208,66 +212,68 @@
 	}).Info("instance started")
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	var work sync.WaitGroup
-	for _, run := range append(i.control(), i.clients.guard.run, i.reload) {
-		work.Go(func() { run(background) })
+	var wg sync.WaitGroup
+	for _, run := range append(i.backgroundTasks(), i.clients.guard.run, i.reload) {
+		wg.Go(func() { run(background) })
 	}
 	go i.service.serve(listeners.peers)
 	ready := &http.Server{Handler: http.HandlerFunc(i.serveReady)}
-	own := &http.Server{Handler: http.HandlerFunc(i.serveMetrics)}
-	failed := make(chan error, 4)
+	metricsServer := &http.Server{Handler: http.HandlerFunc(i.serveMetrics)}
+	serveErrors := make(chan error, 4)
 	operators := &http.Server{}
 	if listeners.operators != nil {
 		operators.Handler = i.operatorHandler()
-		go func() { failed <- operators.Serve(listeners.operators) }()
+		go func() { serveErrors <- operators.Serve(listeners.operators) }()
 	}
-	go func() { failed <- i.clients.serve(listeners.clients) }()
-	go func() { failed <- ready.Serve(listeners.ready) }()
-	go func() { failed <- own.Serve(listeners.metrics) }()
+	go func() { serveErrors <- i.clients.serve(listeners.clients) }()
+	go func() { serveErrors <- ready.Serve(listeners.ready) }()
+	go func() { serveErrors <- metricsServer.Serve(listeners.metrics) }()
 	select {
 	case <-ctx.Done():
-	case <-i.left:
-	case err = <-failed:
+	case <-i.leaveRequested:
+	case err = <-serveErrors:
 	}
 	i.drain()
 	stop()
 	_ = operators.Close()
 	_ = ready.Close()
-	_ = own.Close()
+	_ = metricsServer.Close()
 	_ = listeners.peers.Close()
-	work.Wait()
+	wg.Wait()
 	i.log.WithField("instance", s.NodeName).Info("instance stopped")
 	return err
 }
 
-// storeCameBack has what this instance wrote be written again: the copy that the store came back
-// from may lack it. told is whether the store has said so, and not another instance.
-func (i *Instance) storeCameBack(told bool) {
-	pause.Wake(i.members.eraBegan)
-	if told {
-		i.keeper.writeAllLater()
+// handleStoreRestored schedules this instance's records to be written again, since the copy that the
+// store was restored from may lack them. fromStore is whether the store has reported the restore, and
+// not another instance.
+func (i *Instance) handleStoreRestored(fromStore bool) {
+	pause.Wake(i.members.eraChanged)
+	if fromStore {
+		i.quarantine.scheduleWriteAll()
 	}
 	i.follower.reportNow()
 }
 
-// control returns the standing work with the store and other instances.
-func (i *Instance) control() []func(context.Context) {
+// backgroundTasks returns the tasks that communicate with the store and other instances for as long as
+// the instance runs.
+func (i *Instance) backgroundTasks() []func(context.Context) {
 	return []func(context.Context){
-		i.watcher.run, i.follower.run, i.holder.Run, i.keeper.run, i.keeper.runUrgent, i.crashes.runSweep, i.intake.run, i.gate.run, i.members.run,
+		i.watcher.run, i.follower.run, i.holder.Run, i.quarantine.run, i.quarantine.runUrgent, i.crashes.runSweep, i.limiter.run, i.access.run, i.members.run,
 	}
 }
 
-// listeners are where an instance is reached; operators is nil if nowhere.
+// listeners are an instance's listeners. operators is nil if the operators' interface is disabled.
 type listeners struct{ clients, ready, peers, metrics, operators net.Listener }
 
-// MetricsPort is where an instance serves its metrics, under /metrics; the
-// deploy file names the same one.
+// MetricsPort is the port that serves the metrics, under /metrics. The deploy file has the same
+// number.
 const MetricsPort = 9464
 
 func (i *Instance) listen() (listeners, error) {
 	var l listeners
 	s := i.settings.Load()
-	for _, where := range []struct {
+	for _, endpoint := range []struct {
 		name, address string
 		to            *net.Listener
 	}{
@@ -277,48 +283,47 @@
 		{"metrics", s.MetricsAddress(MetricsPort), &l.metrics},
 		{"operators-port", i.operatorsAddress(), &l.operators},
 	} {
-		if where.address == "" {
+		if endpoint.address == "" {
 			continue
 		}
-		listener, err := net.Listen("tcp", where.address)
+		listener, err := net.Listen("tcp", endpoint.address)
 		if err != nil {
-			return l, errors.Wrapf(err, "%s: listen on %s", where.name, where.address)
+			return l, errors.Wrapf(err, "%s: listen on %s", endpoint.name, endpoint.address)
 		}
-		*where.to = listener
+		*endpoint.to = listener
 	}
 	return l, nil
 }
 
-// leave has the instance leave as at SIGTERM.
-func (i *Instance) leave() { i.leaveOnce.Do(func() { close(i.left) }) }
+// leave makes the instance leave as on SIGTERM.
+func (i *Instance) leave() { i.leaveOnce.Do(func() { close(i.leaveRequested) }) }
 
-// Times of leaving.
+// Time limits for leaving.
 const (
-	// graceShare of the time until the platform kills the process is used to
-	// let requests end; the rest is for the last answers to leave.
-	graceShare = 0.9
-	// balancerNotice is how long the platform's balancer may go on sending new
-	// connections after the instance has become unready: two checks a second
-	// apart, and one on its way.
-	balancerNotice = 2500 * time.Millisecond
-	storeNotice    = time.Second
+	// drainShare is the part of the grace period, after which the platform kills the process, that is
+	// used to let requests end. The rest is for sending the last answers.
+	drainShare = 0.9
+	// balancerDelay is how long the platform's load balancer may go on sending new connections after
+	// the instance has become unready: two checks one second apart, plus one in flight.
+	balancerDelay  = 2500 * time.Millisecond
+	releaseTimeout = time.Second
 )
 
-// drain makes the instance unready, gives up the lease, and lets requests end.
+// drain makes the instance unready, releases the lease, and lets requests end.
 func (i *Instance) drain() {
-	started := time.Now()
+	start := time.Now()
 	i.draining.Store(true)
 	grace := i.settings.Load().Grace()
 	i.log.WithField("grace_ms", grace.Milliseconds()).Info("instance draining")
-	limit := started.Add(time.Duration(float64(grace) * graceShare))
-	ctx, cancel := context.WithTimeout(context.Background(), storeNotice)
-	i.follower.leave()
+	deadline := start.Add(time.Duration(float64(grace) * drainShare))
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+	i.follower.stopTakeovers()
 	i.holder.Release(ctx)
 	i.members.unregister(ctx)
 	cancel()
-	time.Sleep(time.Until(started.Add(balancerNotice)))
+	time.Sleep(time.Until(start.Add(balancerDelay)))
 	i.forwarder.Leave()
-	i.clients.drain(limit)
+	i.clients.drain(deadline)
 }
 
 func (i *Instance) addGauges() {
@@ -329,7 +334,7 @@
 		return 0
 	})
 	i.set.NewGauge("martenport_servers", func() float64 { return float64(len(i.dir.IDs())) })
-	i.set.NewGauge("martenport_servers_age_seconds", func() float64 { return i.watcher.ageOf(platform.PrefixServers, clock.Now()).Seconds() })
+	i.set.NewGauge("martenport_servers_age_seconds", func() float64 { return i.watcher.prefixAge(platform.PrefixServers, clock.Now()).Seconds() })
 	i.set.NewGauge("martenport_holder", func() float64 { return float64(i.holder.Fence()) })
 	for kind, count := range map[string]*atomic.Int64{
 		"read": &i.client.Calls().Reads, "stale_read": &i.client.Calls().StaleReads, "write": &i.client.Calls().Writes, "watch": &i.client.Calls().Watches, "failed": &i.client.Calls().Failures,
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -23,30 +23,31 @@
 	"github.com/martenport/martenport/table"
 )
 
-// Options are decided by whoever starts the process, not by the platform.
+// Options are set by whoever starts the process, not by the platform.
 type Options struct {
-	// OperatorsPort is where operators are answered, on the instance's own
-	// address; 0 offers no operators' interface, and then no declaration is read
-	// and no number of replicas limited. It must be the same at all instances.
+	// OperatorsPort is the port of the operators' interface, on the instance's own address. 0 disables
+	// the interface; then no declaration is read and the number of replicas is not limited. It must be
+	// the same at all instances.
 	OperatorsPort int
-	// OperatorCredential is the bearer token that operators must send; empty
-	// lets everyone in who reaches the port.
+	// OperatorCredential is the bearer token that operators must send. If it is empty, everyone who
+	// can connect to the port has access.
 	OperatorCredential string
 }
 
-// declared is the operators' declaration, as far as this instance has read it.
-type declared struct {
+// declarationState is the operators' declaration as last read by this instance.
+type declarationState struct {
 	config *table.Config
-	// read: the store has said whether there is a declaration, and is asked on.
-	read atomic.Bool
-	log  logrus.FieldLogger
+	// loaded is whether the store has reported if there is a declaration, and it is still being
+	// watched.
+	loaded atomic.Bool
+	log    logrus.FieldLogger
 }
 
 // Known implements limits.Source.
-func (d *declared) Known() bool { return d.read.Load() }
+func (d *declarationState) Known() bool { return d.loaded.Load() }
 
 // Limit implements limits.Source.
-func (d *declared) Limit(model string) (limits.Limit, bool) {
+func (d *declarationState) Limit(model string) (limits.Limit, bool) {
 	m, found := d.config.Index().Models[model]
 	if !found {
 		return limits.Limit{}, false
@@ -54,12 +55,13 @@
 	return limits.Limit{Replicas: m.MaxReplicas, Domains: m.FailureDomains}, true
 }
 
-// forget notes that the declaration is not read any more. Without it an instance that
-// becomes the holder again goes by the declaration of the first time, for 84 ms in its test.
-func (d *declared) forget() { d.read.Store(false) }
+// markUnread records that the declaration is not being watched any more. Without it, an instance that
+// becomes the holder again uses the declaration from its previous term, for 84 ms in the test.
+func (d *declarationState) markUnread() { d.loaded.Store(false) }
 
-// apply takes over what the store has. An accepted declaration never reverts.
-func (d *declared) apply(snap store.Snapshot, _ bool) {
+// apply applies the declaration read from the store. An accepted declaration never reverts to an older
+// one.
+func (d *declarationState) apply(snap store.Snapshot, _ bool) {
 	for _, obj := range snap.Objects {
 		if obj.Deleted || obj.Key != store.KeyConfig {
 			continue
@@ -69,25 +71,25 @@
 			err = d.accept(accepted)
 		}
 		if err != nil {
-			d.log.WithFields(logrus.Fields{"revision": obj.Version, "error": err}).Error("declaration cannot be read, the one in force stays")
+			d.log.WithFields(logrus.Fields{"revision": obj.Version, "error": err}).Error("declaration cannot be decoded, keeping the one in force")
 		}
 	}
-	d.read.Store(true)
+	d.loaded.Store(true)
 }
 
-// refresh reads the declaration for an operator: only the holder of the lease
-// watches it. While the store is away the one that was read last is told.
-func (d *declared) refresh(ctx context.Context, s store.Store) {
+// refresh reads the declaration for an operator, since only the lease holder watches it. While the
+// store is unavailable the last one read is used.
+func (d *declarationState) refresh(ctx context.Context, s store.Store) {
 	obj, err := s.Get(ctx, store.KeyConfig)
 	if err == nil {
 		d.apply(store.Snapshot{Objects: []store.Object{obj}}, false)
 	} else if !errors.Is(err, store.ErrNotFound) {
-		d.log.WithField("error", err).Info("declaration not read, the one read last is told")
+		d.log.WithField("error", err).Info("declaration not read, answering with the one read last")
 	}
 }
 
 // accept puts a declaration in force if it is newer.
-func (d *declared) accept(a *table.Accepted) error {
+func (d *declarationState) accept(a *table.Accepted) error {
 	applied, err := d.config.Accept(a)
 	if applied {
 		d.log.WithFields(logrus.Fields{"generation": a.Generation, "plan": a.PlanID, "models": len(a.Index().Models)}).Info("declaration in force")
@@ -95,23 +97,23 @@
 	return err
 }
 
-// operatorService answers operators. It offers no time line: entry instances write
-// logs, from which `martenctl explain` tells what became of a request.
+// operatorService implements the operators' interface. It has no timeline: entry instances write logs,
+// from which `martenctl explain` shows what happened to a request.
 type operatorService struct {
 	operators.Declarations
 	i *Instance
 }
 
-// operatorEvents is how many events of plans and confirmations are kept.
-const operatorEvents = 100
+// maxOperatorEvents is the number of events of plans and confirmations that are kept.
+const maxOperatorEvents = 100
 
 func (i *Instance) operatorHandler() http.Handler {
 	s := operatorService{i: i, Declarations: operators.Declarations{
-		Intents: intent.New(i.client, i.declared.config, i.members.populated), Config: i.declared.config,
-		Events: event.NewRecorder(i.settings.Load().NodeName, &event.Clock{}, operatorEvents, i.log),
+		Intents: intent.New(i.client, i.declaration.config, i.members.hasInstanceIn), Config: i.declaration.config,
+		Events: event.NewRecorder(i.settings.Load().NodeName, &event.Clock{}, maxOperatorEvents, i.log),
 		Accepted: func(a *table.Accepted) {
-			if err := i.declared.accept(a); err != nil {
-				i.log.WithField("error", err).Error("accepted declaration cannot be read here")
+			if err := i.declaration.accept(a); err != nil {
+				i.log.WithField("error", err).Error("accepted declaration cannot be decoded")
 			}
 		},
 	}}
@@ -123,12 +125,12 @@
 
 // GetDeclaration implements martenportv1connect.OperatorServiceHandler.
 func (s operatorService) GetDeclaration(ctx context.Context, msg *connect.Request[martenportv1.GetDeclarationRequest]) (*connect.Response[martenportv1.GetDeclarationResponse], error) {
-	s.i.declared.refresh(ctx, s.i.client)
+	s.i.declaration.refresh(ctx, s.i.client)
 	return s.Declarations.GetDeclaration(ctx, msg)
 }
 
-// Drain implements martenportv1connect.OperatorServiceHandler: the instance leaves
-// as at SIGTERM, and its process ends.
+// Drain implements martenportv1connect.OperatorServiceHandler: the instance leaves as on SIGTERM, and
+// its process ends.
 func (s operatorService) Drain(context.Context, *connect.Request[martenportv1.DrainRequest]) (*connect.Response[martenportv1.DrainResponse], error) {
 	s.i.leave()
 	return connect.NewResponse(&martenportv1.DrainResponse{}), nil
@@ -141,11 +143,11 @@
 
 // GetStatus implements martenportv1connect.OperatorServiceHandler.
 func (s operatorService) GetStatus(ctx context.Context, _ *connect.Request[martenportv1.GetStatusRequest]) (*connect.Response[martenportv1.GetStatusResponse], error) {
-	s.i.declared.refresh(ctx, s.i.client)
+	s.i.declaration.refresh(ctx, s.i.client)
 	settings := s.i.settings.Load()
 	out := &martenportv1.GetStatusResponse{
 		Instance: settings.NodeName, FailureDomain: settings.Zone, Draining: s.i.draining.Load(),
-		Generation: s.i.declared.config.Index().Generation, PlatformReachable: !s.i.watcher.lost(),
+		Generation: s.i.declaration.config.Index().Generation, PlatformReachable: !s.i.watcher.storeLost(),
 		Requests: s.requests(),
 	}
 	for _, m := range s.i.members.list(ctx) {
@@ -153,7 +155,7 @@
 	}
 	resident := map[serving.Unit]int32{}
 	out.Engines = s.engines(resident)
-	for _, m := range s.i.declared.config.Index().Declaration.Models {
+	for _, m := range s.i.declaration.config.Index().Declaration.Models {
 		out.Models = append(out.Models, &martenportv1.ModelStatus{
 			Name: m.Name, MaxReplicas: int32(m.MaxReplicas), Resident: resident[serving.Unit{Model: m.Name}],
 		})
@@ -169,7 +171,7 @@
 	}
 }
 
-// engines returns the state of the engines, and counts each unit in resident.
+// engines returns the state of the engines, and counts the loaded units in resident.
 func (s operatorService) engines(resident map[serving.Unit]int32) []*martenportv1.EngineStatus {
 	config := s.i.dir.Config()
 	if config == nil {
@@ -182,8 +184,8 @@
 			continue
 		}
 		e := &martenportv1.EngineStatus{Name: server.ID, FailureDomain: server.FailureDomain, Orderer: holder, Leaving: server.Draining}
-		e.Limit, e.Limited = s.i.intake.ledger.Limit(server)
-		e.RestingSeconds = max(0, clock.Until(s.i.intake.RetryAfterUntil(server)).Seconds())
+		e.Limit, e.Limited = s.i.limiter.ledger.Limit(server)
+		e.RestingSeconds = max(0, clock.Until(s.i.limiter.RetryAfterUntil(server)).Seconds())
 		for _, u := range s.i.dir.UnitsOn(server.ID) {
 			e.Resident = append(e.Resident, u.String())
 			resident[u]++
@@ -193,7 +195,7 @@
 	return engines
 }
 
-// operatorsAddress is where operators are answered, empty if nowhere.
+// operatorsAddress returns the address of the operators' interface, empty if it is disabled.
 func (i *Instance) operatorsAddress() string {
 	if i.options.OperatorsPort == 0 {
 		return ""
--- a/entry/quarantine_store.go
+++ b/entry/quarantine_store.go
@@ -16,10 +16,11 @@
 	"github.com/martenport/martenport/store"
 )
 
-// prefixQuarantine has an entry for each suspect and quarantined request, by fingerprint.
+// prefixQuarantine is the store's prefix of the entries of suspect and quarantined requests, by
+// fingerprint.
 const prefixQuarantine = "quarantine/"
 
-// heldRequest is such an entry.
+// heldRequest is the entry of a suspect or quarantined request.
 type heldRequest struct {
 	Subject string                   `json:"subject"`
 	Crashes []quarantine.Incarnation `json:"crashes"`
@@ -27,16 +28,16 @@
 	Alone   []quarantine.Incarnation `json:"alone,omitempty"`
 	Pending []heldEnd                `json:"pending,omitempty"`
 	GraceMS int64                    `json:"graceMs"`
-	// ChangedMS is the time of the last change in milliseconds of the Unix epoch. It decides
-	// for how many minutes the entry counts and nothing else.
+	// ChangedMS is the time of the last change, in milliseconds since the Unix epoch. It only
+	// determines for how many minutes the entry counts.
 	ChangedMS int64 `json:"changedMs"`
 }
 
-// heldEnd is a pending end in such an entry.
+// heldEnd is a pending end in a heldRequest.
 type heldEnd struct {
 	Incarnation quarantine.Incarnation `json:"incarnation"`
-	// EndedMS is when it ended in milliseconds of the Unix epoch. It decides when the end is
-	// decided, and the request does not run before.
+	// EndedMS is when the server ended, in milliseconds since the Unix epoch. It determines when the
+	// pending end is decided; the request does not run before that.
 	EndedMS int64 `json:"endedMs"`
 }
 
@@ -48,8 +49,8 @@
 	return h
 }
 
-// says reports whether the entry has what is known of a request.
-func (h heldRequest) says(r quarantine.Record) bool {
+// matches reports whether the entry agrees with a record of the ledger.
+func (h heldRequest) matches(r quarantine.Record) bool {
 	return slices.Equal(h.Crashes, r.Crashes) && slices.Equal(h.Alone, r.Alone) &&
 		slices.EqualFunc(h.Pending, r.Pending, func(a heldEnd, b quarantine.PendingEnd) bool { return a.Incarnation == b.Incarnation })
 }
@@ -65,8 +66,8 @@
 	return r
 }
 
-// load takes over what the store has, and reports whether it could be read.
-func (q *quarantineKeeper) load(ctx context.Context) bool {
+// load merges the entries in the store, and reports whether they could be read.
+func (q *quarantineManager) load(ctx context.Context) bool {
 	snap, err := q.store.List(ctx, prefixQuarantine)
 	if err != nil {
 		return false
@@ -76,28 +77,28 @@
 	for _, obj := range snap.Objects {
 		var h heldRequest
 		if err := json.Unmarshal(obj.Value, &h); err != nil {
-			q.log.WithFields(logrus.Fields{"key": obj.Key, "error": err}).Error("entry of a held request cannot be read")
+			q.log.WithFields(logrus.Fields{"key": obj.Key, "error": err}).Error("entry of a held request cannot be decoded")
 			continue
 		}
 		records = append(records, h.decode(serving.Fingerprint(obj.Key[len(prefixQuarantine):]), now))
 	}
-	q.noteRaised(q.ledger.Take(records, clock.Now()), "store")
-	q.read.Store(true)
+	q.recordRaised(q.ledger.Take(records, clock.Now()), "store")
+	q.loaded.Store(true)
 	return true
 }
 
-// write brings the store up to date with what has changed.
-func (q *quarantineKeeper) write(ctx context.Context) {
+// write updates the entries in the store that are out of date.
+func (q *quarantineManager) write(ctx context.Context) {
 	q.mu.Lock()
-	due := slices.Sorted(maps.Keys(q.unwritten))
+	pending := slices.Sorted(maps.Keys(q.unwritten))
 	q.mu.Unlock()
-	for _, fp := range due {
+	for _, fp := range pending {
 		err := q.writeOne(ctx, fp)
 		if errors.Is(err, store.ErrConflict) {
-			continue // another instance was faster; what it wrote is read first next time
+			continue // another instance has written the entry; the next attempt reads that first
 		}
 		if err != nil {
-			return // the store is away; all are tried again
+			return // the store is unavailable; all are retried
 		}
 		q.mu.Lock()
 		delete(q.unwritten, fp)
@@ -105,9 +106,9 @@
 	}
 }
 
-// writeOne writes what is known of a request, together with what the store knows, or removes
-// it if nothing counts against it.
-func (q *quarantineKeeper) writeOne(ctx context.Context, fp serving.Fingerprint) error {
+// writeOne merges a request's entry in the store into the ledger and writes the result, or deletes the
+// entry if nothing counts against the request any more.
+func (q *quarantineManager) writeOne(ctx context.Context, fp serving.Fingerprint) error {
 	key := prefixQuarantine + string(fp)
 	now := time.Now()
 	stored, version, err := store.Read[heldRequest](ctx, q.store, key)
@@ -115,7 +116,7 @@
 		return err
 	}
 	if version != 0 {
-		q.noteRaised(q.ledger.Take([]quarantine.Record{stored.decode(fp, now)}, clock.Now()), "store")
+		q.recordRaised(q.ledger.Take([]quarantine.Record{stored.decode(fp, now)}, clock.Now()), "store")
 	}
 	r, known := q.ledger.Record(fp, clock.Now())
 	if !known || r.State() == quarantine.Clear {
@@ -124,7 +125,7 @@
 		}
 		return q.store.Delete(ctx, key, version)
 	}
-	if version != 0 && stored.says(r) {
+	if version != 0 && stored.matches(r) {
 		return nil
 	}
 	_, err = store.WriteJSON(ctx, q.store, key, encodeHeld(r, now), version)
