--- a/soak/budget.go
+++ b/soak/budget.go
@@ -8,56 +8,56 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// The bound on repeated sends that the entry instances are given: over all of them,
-// in any budgetWindow, budgetRatio of a service's requests and an extra.
+// The bound on repeated sends in the settings of the entry instances: in any budgetWindow, all instances together
+// may repeat budgetRatio of a service's requests plus an extra.
 const (
 	budgetRatio  = 0.05
 	budgetWindow = 10 * time.Second
-	// budgetExtraBase and budgetExtraEntry make the extra: 52 for 6 instances and
-	// 200 for 80, near to those of the users' deployments.
+	// budgetExtraBase and budgetExtraEntry give an extra of 52 for 6 instances and of 200 for 80, close to those
+	// of the users' deployments.
 	budgetExtraBase, budgetExtraEntry = 40, 2
 )
 
 func budgetExtra(entries int) int { return budgetExtraBase + budgetExtraEntry*entries }
 
-// sends are the times of a service's requests, as clients sent them, and of the
-// arrivals beyond the first of each request at its servers, both in order.
-type sends struct{ requests, repeats []time.Time }
+// sendTimes holds, in chronological order, when clients sent the requests to a service, and when arrivals beyond
+// the first of a request reached its servers.
+type sendTimes struct{ requests, repeats []time.Time }
 
-// sendsByService sorts the history by service. It needs mu.
-func (s *seen) sendsByService() map[string]*sends {
-	all := map[string]*sends{}
-	for _, t := range s.tries {
-		if !t.sent.IsZero() {
-			of := sendsTo(all, serviceOf(t.route))
-			of.requests = append(of.requests, t.sent)
+// sendTimesByService groups the history by service. h.mu must be held.
+func (h *history) sendTimesByService() map[string]*sendTimes {
+	all := map[string]*sendTimes{}
+	for _, req := range h.requests {
+		if !req.sentAt.IsZero() {
+			times := sendTimesOf(all, serviceOf(req.route))
+			times.requests = append(times.requests, req.sentAt)
 		}
 	}
-	for service, arrived := range s.arrivalsByService() {
-		of := sendsTo(all, service)
-		first := map[string]bool{}
-		for _, a := range arrived {
-			if first[a.ID] {
-				of.repeats = append(of.repeats, a.At)
+	for service, arrivals := range h.arrivalsByService() {
+		times := sendTimesOf(all, service)
+		seen := map[string]bool{}
+		for _, a := range arrivals {
+			if seen[a.ID] {
+				times.repeats = append(times.repeats, a.At)
 			}
-			first[a.ID] = true
+			seen[a.ID] = true
 		}
-		slices.SortFunc(of.requests, time.Time.Compare)
+		slices.SortFunc(times.requests, time.Time.Compare)
 	}
 	return all
 }
 
-func sendsTo(all map[string]*sends, service string) *sends {
+func sendTimesOf(all map[string]*sendTimes, service string) *sendTimes {
 	if all[service] == nil {
-		all[service] = &sends{}
+		all[service] = &sendTimes{}
 	}
 	return all[service]
 }
 
-// arrivalsByService needs mu. The arrivals are in the order of time.
-func (s *seen) arrivalsByService() map[string][]standin.Arrival {
+// arrivalsByService returns each service's arrivals in chronological order. h.mu must be held.
+func (h *history) arrivalsByService() map[string][]standin.Arrival {
 	all := map[string][]standin.Arrival{}
-	for _, state := range s.servers {
+	for _, state := range h.servers {
 		all[state.Service] = append(all[state.Service], state.Arrivals...)
 	}
 	for _, list := range all {
@@ -66,33 +66,32 @@
 	return all
 }
 
-// budgetUse is a service's budgetWindow in which its instances came nearest to the
-// bound, or passed it by most; the zero value where nothing was repeated.
+// budgetUse describes the budgetWindow in which the repeated sends to a service came closest to the bound, or
+// exceeded it the most. It is the zero value if nothing was repeated.
 type budgetUse struct {
 	from             time.Time
 	repeats, allowed int
 }
 
-// budgetBreaches checks that repeated sends stay within the budget that all
-// instances share: no budgetWindow has more arrivals beyond the first of each
-// request than the bound allows. The requests that count are those in the window,
-// in the one before it, or in the one half a window before it, whichever are most.
-// It needs mu.
-func (s *seen) budgetBreaches() []Breach {
+// budgetBreaches checks that repeated sends stay within the budget shared by all instances: in no budgetWindow are
+// there more arrivals beyond the first of each request than the bound allows. The bound is computed from the
+// requests in that window, in the preceding one, or in the one that begins half a window earlier, whichever has
+// the most. h.mu must be held.
+func (h *history) budgetBreaches() []Breach {
 	var found []Breach
-	for service, of := range s.sendsByService() {
-		if use := of.worst(s.extra); use.repeats > use.allowed {
+	for service, times := range h.sendTimesByService() {
+		if use := times.worstWindow(h.budgetExtra); use.repeats > use.allowed {
 			found = append(found, Breach{"repeated sends stay within the shared budget", fmt.Sprintf("%s: %s", service, use)})
 		}
 	}
 	return found
 }
 
-// worst looks at the windows that begin with a repeated send; others hold no more.
-func (s *sends) worst(extra int) budgetUse {
+// worstWindow checks only windows that begin with a repeated send, since no other window contains more.
+func (s *sendTimes) worstWindow(extra int) budgetUse {
 	var worst budgetUse
 	for i, from := range s.repeats {
-		use := budgetUse{from: from, repeats: countIn(s.repeats[i:], from), allowed: int(budgetRatio*float64(s.requestsAround(from))) + extra}
+		use := budgetUse{from: from, repeats: countInWindow(s.repeats[i:], from), allowed: int(budgetRatio*float64(s.maxRequestsNear(from))) + extra}
 		if i == 0 || use.repeats-use.allowed > worst.repeats-worst.allowed {
 			worst = use
 		}
@@ -104,27 +103,27 @@
 	return fmt.Sprintf("%d arrivals beyond the first in the %s from %s, %d allowed", u.repeats, budgetWindow, u.from.Format("15:04:05.000"), u.allowed)
 }
 
-// budgetUses tells how near to the bound each service came, and how many repeated
-// sends there were in all.
-func (s *seen) budgetUses() (uses []string, repeats int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for service, of := range s.sendsByService() {
-		repeats += len(of.repeats)
-		uses = append(uses, fmt.Sprintf("%s: %s", service, of.worst(s.extra)))
+// budgetSummary describes how close each service came to the bound, and returns the total number of repeated
+// sends.
+func (h *history) budgetSummary() (uses []string, repeats int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for service, times := range h.sendTimesByService() {
+		repeats += len(times.repeats)
+		uses = append(uses, fmt.Sprintf("%s: %s", service, times.worstWindow(h.budgetExtra)))
 	}
 	slices.Sort(uses)
 	return uses, repeats
 }
 
-// requestsAround is the most requests in the window from a time, in the one before
-// it, or in the one half a window before it.
-func (s *sends) requestsAround(from time.Time) int {
-	return max(countIn(s.requests, from), countIn(s.requests, from.Add(-budgetWindow)), countIn(s.requests, from.Add(-budgetWindow/2)))
+// maxRequestsNear returns the maximum number of requests in the window that begins at from, the preceding one, and
+// the one that begins half a window earlier.
+func (s *sendTimes) maxRequestsNear(from time.Time) int {
+	return max(countInWindow(s.requests, from), countInWindow(s.requests, from.Add(-budgetWindow)), countInWindow(s.requests, from.Add(-budgetWindow/2)))
 }
 
-// countIn counts ordered times in the window from a time.
-func countIn(times []time.Time, from time.Time) int {
+// countInWindow counts the times, which must be sorted, within the budgetWindow that begins at from.
+func countInWindow(times []time.Time, from time.Time) int {
 	first, _ := slices.BinarySearchFunc(times, from, time.Time.Compare)
 	end, _ := slices.BinarySearchFunc(times, from.Add(budgetWindow), time.Time.Compare)
 	return end - first
--- a/soak/check.go
+++ b/soak/check.go
@@ -10,88 +10,88 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// seen is the history that promises are checked against.
-type seen struct {
-	mu      *sync.Mutex
-	tries   map[string]try
-	servers map[string]standin.State // by server and start
-	// extra is how many repeated sends the budget allows beyond its ratio.
-	extra int
-	// versions are when each was acknowledged.
-	versions map[int64]time.Time
+// history is what clients and servers observed, against which the promises are checked.
+type history struct {
+	mu       *sync.Mutex
+	requests map[string]clientRequest
+	servers  map[string]standin.State // by server and number of the start
+	// budgetExtra is the number of repeated sends that the budget allows in addition to its ratio.
+	budgetExtra int
+	// acknowledged holds the time at which the store acknowledged each version of the configuration.
+	acknowledged map[int64]time.Time
 }
 
-func newSeen(entries int) seen {
-	return seen{mu: &sync.Mutex{}, tries: map[string]try{}, servers: map[string]standin.State{}, extra: budgetExtra(entries), versions: map[int64]time.Time{}}
+func newHistory(entries int) history {
+	return history{mu: &sync.Mutex{}, requests: map[string]clientRequest{}, servers: map[string]standin.State{}, budgetExtra: budgetExtra(entries), acknowledged: map[int64]time.Time{}}
 }
 
-func (s *seen) tried(t try) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.tries[t.id] = t
+func (h *history) addRequest(req clientRequest) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.requests[req.id] = req
 }
 
-func (s *seen) add(server string, state standin.State) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.servers[server] = state
+func (h *history) addServerState(server string, state standin.State) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.servers[server] = state
 }
 
-// breaches checks the history.
-func (s *seen) breaches() []Breach {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// breaches returns the promises that the history breaks.
+func (h *history) breaches() []Breach {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var found []Breach
 	runs := map[string]int{}
-	for name, state := range s.servers {
+	for name, state := range h.servers {
 		for id, n := range state.Runs {
 			runs[id] += n
 		}
 		for _, v := range state.Violations {
 			found = append(found, Breach{"memory is never overcommitted", name + ": " + v})
 		}
-		found = append(found, ordersOf(name, state.Orders)...)
+		found = append(found, orderBreaches(name, state.Orders)...)
 		if state.Forgotten > 0 {
 			found = append(found, Breach{"the history is whole", fmt.Sprintf("%s has forgotten %d arrivals: make the run shorter", name, state.Forgotten)})
 		}
 	}
 	for id, n := range runs {
-		if _, known := s.tries[id]; !known {
+		if _, known := h.requests[id]; !known {
 			found = append(found, Breach{"only what a client sent runs", id})
 		}
-		if t := s.tries[id]; n > 1 && runsOnce(t.route) {
+		if req := h.requests[id]; n > 1 && atMostOnce(req.route) {
 			found = append(found, Breach{"a non-idempotent request runs at most once", fmt.Sprintf("%s ran %d times", id, n)})
 		}
 	}
-	for _, t := range s.tries {
-		found = append(found, t.breaches(runs[t.id])...)
-		found = append(found, t.lostBreaches(runs[t.id])...)
+	for _, req := range h.requests {
+		found = append(found, req.breaches(runs[req.id])...)
+		found = append(found, req.lostAnswerBreaches(runs[req.id])...)
 	}
-	found = append(found, s.keyBreaches()...)
-	found = append(found, s.saidBreaches()...)
-	return append(found, s.budgetBreaches()...)
+	found = append(found, h.keyBreaches()...)
+	found = append(found, h.backpressureBreaches()...)
+	return append(found, h.budgetBreaches()...)
 }
 
-// breaches checks one try, which ran so often.
-func (t *try) breaches(runs int) []Breach {
+// breaches checks a request that servers ran the given number of times.
+func (req *clientRequest) breaches(runs int) []Breach {
 	var found []Breach
 	switch {
-	case t.refused() && runs > 0:
-		found = append(found, Breach{"a refusal that says not run is true", fmt.Sprintf("%s (%s) ran %d times", t.id, t.route, runs)})
-	case t.status == http.StatusOK && t.whole && t.body != t.expected():
-		found = append(found, Breach{"each client gets the whole answer to its own request", fmt.Sprintf("%s (%s) got %q", t.id, t.route, t.body)})
-	case t.status == http.StatusOK && !strings.HasPrefix(t.expected(), t.body):
-		found = append(found, Breach{"a part of an answer is a part of the client's own", fmt.Sprintf("%s (%s) got %q", t.id, t.route, t.body)})
+	case req.refused() && runs > 0:
+		found = append(found, Breach{"a refusal that says not run is true", fmt.Sprintf("%s (%s) ran %d times", req.id, req.route, runs)})
+	case req.status == http.StatusOK && req.complete && req.body != req.expectedBody():
+		found = append(found, Breach{"each client gets the whole answer to its own request", fmt.Sprintf("%s (%s) got %q", req.id, req.route, req.body)})
+	case req.status == http.StatusOK && !strings.HasPrefix(req.expectedBody(), req.body):
+		found = append(found, Breach{"a part of an answer is a part of the client's own", fmt.Sprintf("%s (%s) got %q", req.id, req.route, req.body)})
 	}
-	if t.undisturbed && t.took > routeTimeout+answerSlack {
-		found = append(found, Breach{"each request is answered or refused in its time", fmt.Sprintf("%s (%s) took %s", t.id, t.route, t.took)})
+	if req.entryRunning && req.duration > routeTimeout+answerSlack {
+		found = append(found, Breach{"each request is answered or refused in its time", fmt.Sprintf("%s (%s) took %s", req.id, req.route, req.duration)})
 	}
 	return found
 }
 
-// ordersOf checks the accepted orders to one start of an engine: tokens rise, and
-// two holders' orders are apart.
-func ordersOf(engine string, orders []standin.ReceivedOrder) []Breach {
+// orderBreaches checks the orders that one start of an engine accepted: fencing tokens never decrease, and orders
+// of different holders are at least leaseMS apart.
+func orderBreaches(engine string, orders []standin.ReceivedOrder) []Breach {
 	var found []Breach
 	var last standin.ReceivedOrder
 	for _, o := range orders {
--- a/soak/clients.go
+++ b/soak/clients.go
@@ -18,169 +18,166 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// answerSlack is how much later than the route's time an answer may come on a busy
-// machine.
+// answerSlack is how far past the route's timeout an answer may arrive on a loaded machine.
 const answerSlack = 6 * time.Second
 
-// Clients: how many at least, how many for each instance, and how long each pauses
-// between requests.
+// The minimum number of clients, the number per instance, and the pause of a client between requests.
 const (
-	clients     = 12
-	eachEntry   = 2
-	clientPause = 60 * time.Millisecond
+	minClients      = 12
+	clientsPerEntry = 2
+	clientPause     = 60 * time.Millisecond
 )
 
-// freshRoutes are those of clients that open a connection for each request. Most
-// may be sent once more when a server fails, so that the budget is put to use.
-var freshRoutes = []string{"unsafe", "safe", "safe", "stream", "once"}
+// newConnRoutes are the routes of clients that open a connection per request. Most of them permit a repeated send
+// after a server failure, so that the budget is exercised.
+var newConnRoutes = []string{"unsafe", "safe", "safe", "stream", "once"}
 
-// samePayload is what half of the requests bear, so that many ask for the same.
-const samePayload = "body"
+// defaultPayload is the body of half of the requests, so that many clients send the same request.
+const defaultPayload = "body"
 
-// try is one request and what its client saw.
-type try struct {
+// clientRequest is a request and what its client observed.
+type clientRequest struct {
 	id, route, model string
-	// key is that of the steady workspace if empty.
+	// key is the API key; empty means steadyKey.
 	key string
-	// payload is the body; samePayload if empty.
+	// payload is the body; empty means defaultPayload.
 	payload string
 	status  int
 	body    string
-	// whole: the answer ended as it said it would.
-	whole bool
-	took  time.Duration
-	// sent is when the request was written whole; zero if it was not.
-	sent time.Time
-	// kept: the connection had carried another request before.
-	kept bool
-	// undisturbed: the instance ran all the while.
+	// complete reports whether the whole answer was read.
+	complete bool
+	duration time.Duration
+	// sentAt is the time just before the request was written. It is zero if the write failed.
+	sentAt time.Time
+	// reusedConn reports whether the connection had carried an earlier request.
+	reusedConn bool
+	// entryRunning reports whether the instance ran during the whole request.
+	entryRunning bool
+	// entry is the instance that the request was sent to, and entryStable reports whether it was stable (see
+	// run.entryStable) when the request was sent. The instance has not been disturbed since entryUndisturbedSince.
+	entry                 int
+	entryStable           bool
+	entryUndisturbedSince time.Time
+	// undisturbed reports whether no fault affected the instance, the servers of the service or the connections to
+	// them.
 	undisturbed bool
-	// entry is the instance that it was sent to. inTouch: it had not been disturbed for a while,
-	// and nor had the store; calm is since when it had not been.
-	entry   int
-	inTouch bool
-	calm    time.Time
-	// clear: nothing at all disturbed the instance, the servers of the service or
-	// the ways to them.
-	clear bool
 }
 
-// startClients sends requests until ctx ends. The returned function waits and
-// gives the counts.
+// startClients starts the clients, which send requests until ctx is done. The returned function waits for them and
+// returns the counts.
 func (r *run) startClients(ctx context.Context) func() Result {
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var result Result
-	ended := func(t try) {
-		r.seen.tried(t)
+	record := func(req clientRequest) {
+		r.history.addRequest(req)
 		mu.Lock()
 		defer mu.Unlock()
-		result.count(t)
+		result.count(req)
 	}
-	for c := range max(clients, eachEntry*len(r.entries)) {
+	for c := range max(minClients, clientsPerEntry*len(r.entries)) {
 		random := rand.New(rand.NewPCG(r.params.Seed, uint64(100+c)))
-		work.Go(func() {
+		wg.Go(func() {
 			for n := 0; pause.For(ctx, clientPause); n++ {
-				ended(r.try(random, fmt.Sprintf("try-%d-%d", c, n)))
+				record(r.sendOnNewConn(random, fmt.Sprintf("try-%d-%d", c, n)))
 			}
 		})
 	}
-	r.startKeepers(ctx, &work, ended)
+	r.startKeepAliveClients(ctx, &wg, record)
 	return func() Result {
-		work.Wait()
+		wg.Wait()
 		return result
 	}
 }
 
-func (r *Result) count(t try) {
+func (r *Result) count(req clientRequest) {
 	r.Requests++
-	if t.kept && t.clear && !t.sent.IsZero() {
+	if req.reusedConn && req.undisturbed && !req.sentAt.IsZero() {
 		r.KeptClear++
 	}
 	switch {
-	case t.status == http.StatusOK && t.whole:
+	case req.status == http.StatusOK && req.complete:
 		r.Answered++
-	case t.refused():
+	case req.refused():
 		r.Refused++
 	default:
 		r.Failed++
 	}
 }
 
-func (r *run) try(random *rand.Rand, id string) try {
-	t := try{id: id, route: freshRoutes[random.IntN(len(freshRoutes))], key: r.drawKey(random)}
+func (r *run) sendOnNewConn(random *rand.Rand, id string) clientRequest {
+	req := clientRequest{id: id, route: newConnRoutes[random.IntN(len(newConnRoutes))], key: r.drawKey(random)}
 	if random.IntN(2) == 0 {
-		t.payload = "body of " + id
+		req.payload = "body of " + id
 	}
-	if t.route == "stream" || t.route == "once" {
-		t.model = models[random.IntN(len(models))]
+	if req.route == "stream" || req.route == "once" {
+		req.model = models[random.IntN(len(models))]
 	}
 	entry := random.IntN(len(r.entries))
-	t.entry, t.inTouch, t.calm = entry, r.inTouch(entry, time.Now()), r.entries[entry].calmSince()
-	watch := r.watch(entry, serviceOf(t.route))
+	req.entry, req.entryStable, req.entryUndisturbedSince = entry, r.entryStable(entry, time.Now()), r.entries[entry].undisturbedSince()
+	observed := r.observe(entry, serviceOf(req.route))
 	began := time.Now()
-	t.send(r.entryAddress(entry))
-	t.took = time.Since(began)
-	watch.ended(&t)
-	return t
+	req.send(r.entryAddress(entry))
+	req.duration = time.Since(began)
+	observed.finish(&req)
+	return req
 }
 
-// send sends the request on a connection of its own.
-func (t *try) send(address string) {
+// send sends the request on a new connection.
+func (req *clientRequest) send(address string) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	t.exchange(conn, bufio.NewReader(conn))
+	req.exchange(conn, bufio.NewReader(conn))
 }
 
-// exchange sends the request and reads the answer. It reports whether the connection
-// may carry another one.
-func (t *try) exchange(conn net.Conn, reader *bufio.Reader) bool {
-	_ = conn.SetDeadline(time.Now().Add(routeTimeout + 2*answerSlack)) // a read that outlasts it ends the try
+// exchange sends the request and reads the answer. It reports whether the connection can be reused.
+func (req *clientRequest) exchange(conn net.Conn, reader *bufio.Reader) bool {
+	_ = conn.SetDeadline(time.Now().Add(routeTimeout + 2*answerSlack)) // a read beyond the deadline ends the request
 	var text bytes.Buffer
-	fmt.Fprintf(&text, "POST /%s/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: %d\r\n", t.route, len(t.sends()))
-	header := standin.ClientHeader(t.id, t.model, routeTimeout)
-	header.Set(standin.KeyHeader, cmp.Or(t.key, steadyKey))
-	_ = header.Write(&text) // a buffer does not fail
-	text.WriteString("\r\n" + t.sends())
+	fmt.Fprintf(&text, "POST /%s/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: %d\r\n", req.route, len(req.requestBody()))
+	header := standin.ClientHeader(req.id, req.model, routeTimeout)
+	header.Set(standin.KeyHeader, cmp.Or(req.key, steadyKey))
+	_ = header.Write(&text) // writes to a bytes.Buffer do not fail
+	text.WriteString("\r\n" + req.requestBody())
 	now := time.Now()
 	if _, err := conn.Write(text.Bytes()); err != nil {
 		return false
 	}
-	t.sent = now
+	req.sentAt = now
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return false
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	t.status, t.body, t.whole = resp.StatusCode, string(body), err == nil
-	return t.whole && !resp.Close
+	req.status, req.body, req.complete = resp.StatusCode, string(body), err == nil
+	return req.complete && !resp.Close
 }
 
-// refused reports whether the client was told that the request has not run.
-func (t *try) refused() bool {
-	return t.status == http.StatusServiceUnavailable || t.status == http.StatusTooManyRequests || t.status == http.StatusUnauthorized
+// refused reports whether the client was told that the request was not run.
+func (req *clientRequest) refused() bool {
+	return req.status == http.StatusServiceUnavailable || req.status == http.StatusTooManyRequests || req.status == http.StatusUnauthorized
 }
 
-// sends is the body of the request.
-func (t *try) sends() string {
-	if t.payload == "" {
-		return samePayload
+// requestBody returns the body of the request.
+func (req *clientRequest) requestBody() string {
+	if req.payload == "" {
+		return defaultPayload
 	}
-	return t.payload
+	return req.payload
 }
 
-// expected is the whole answer to the request.
-func (t *try) expected() string {
-	if t.model == "" {
-		return "POST /" + t.route + "/x " + t.sends()
+// expectedBody returns the complete body of a correct answer.
+func (req *clientRequest) expectedBody() string {
+	if req.model == "" {
+		return "POST /" + req.route + "/x " + req.requestBody()
 	}
 	var b strings.Builder
 	for i := range standin.StreamEvents {
-		fmt.Fprintf(&b, "id: %d\ndata: %s\n\n", i+1, t.model)
+		fmt.Fprintf(&b, "id: %d\ndata: %s\n\n", i+1, req.model)
 	}
 	return b.String()
 }
--- a/soak/keys.go
+++ b/soak/keys.go
@@ -11,9 +11,9 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// Workspaces of the soak: one whose key all clients have that test something else, one with a
-// limit that its clients go beyond, and one whose keys are taken away: each version of the
-// configuration has that of its own and that of the version before.
+// Workspaces of the soak: one whose key is used by clients that test something else, one whose clients exceed its
+// rate limit, and one whose keys are revoked. Each configuration has the rotating key of its own version and that
+// of the version before.
 const (
 	steadyWorkspace   = "steady"
 	limitedWorkspace  = "limited"
@@ -22,12 +22,12 @@
 	steadyKey  = "key-steady"
 	limitedKey = "key-limited"
 	unknownKey = "key-of-nobody"
-	// rotatingPrefix is followed by a version.
+	// rotatingPrefix is followed by a version of the configuration.
 	rotatingPrefix = "key-v"
 )
 
-// Bounds of keys and limits. The limit is in tokens, of which a request that does not say its
-// size counts plainTokens: ten requests a second.
+// Bounds of keys and rate limits. Limits are in tokens; a request without a token count costs plainTokens, so
+// limitRate is ten requests per second.
 const (
 	revokeBound  = 4 * time.Second
 	limitRate    = 2000.0
@@ -38,12 +38,12 @@
 	plainTokens  = 200.0
 )
 
-// quotaBound is how many requests of the limited workspace may run in a window.
+// quotaBound is the maximum number of requests of the limited workspace that may run in a quotaWindow.
 const quotaBound = ((limitRate*4+limitBurst)*(1+quotaOverage) + quotaSlack) / plainTokens
 
 func rotatingKey(version int64) string { return rotatingPrefix + strconv.FormatInt(version, 10) }
 
-// workspaces are those of a version.
+// workspaces returns the workspaces of a version of the configuration.
 func workspaces(version int64) []standin.Workspace {
 	return []standin.Workspace{
 		{Name: steadyWorkspace, Keys: []string{steadyKey}},
@@ -52,7 +52,7 @@
 	}
 }
 
-// drawKey returns the key of a request: mostly that of the steady workspace.
+// drawKey returns the key of a request: in most cases that of the steady workspace.
 func (r *run) drawKey(random *rand.Rand) string {
 	switch n := random.IntN(100); {
 	case n < 20:
@@ -65,7 +65,7 @@
 	return steadyKey
 }
 
-// workspaceOf is the workspace that has had a key, "" if none ever had.
+// workspaceOf returns the workspace that has, or had, a key, and "" for an unknown key.
 func workspaceOf(key string) string {
 	switch {
 	case key == steadyKey || key == "":
@@ -78,66 +78,67 @@
 	return ""
 }
 
-// accepted notes that a version was acknowledged.
-func (s *seen) accepted(version int64, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.versions[version] = now
+// addVersion records when a version of the configuration was acknowledged.
+func (h *history) addVersion(version int64, now time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.acknowledged[version] = now
 }
 
-// revoked needs mu. It returns when a configuration without a key was first acknowledged.
-func (s *seen) revoked(key string) (time.Time, bool) {
-	of, err := strconv.ParseInt(strings.TrimPrefix(key, rotatingPrefix), 10, 64)
+// revokedAt returns when the first configuration without the key was acknowledged, and whether there is one. h.mu
+// must be held.
+func (h *history) revokedAt(key string) (time.Time, bool) {
+	introduced, err := strconv.ParseInt(strings.TrimPrefix(key, rotatingPrefix), 10, 64)
 	if err != nil {
 		return time.Time{}, false
 	}
 	var first time.Time
-	for version, at := range s.versions {
-		if version >= of+2 && (first.IsZero() || at.Before(first)) {
+	for version, at := range h.acknowledged {
+		if version >= introduced+2 && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
 	}
 	return first, !first.IsZero()
 }
 
-// keyBreaches needs mu. It checks whose requests servers were told that they are, that no key
-// works for long after it was taken away, and that the limited workspace stays within its limit.
-func (s *seen) keyBreaches() []Breach {
+// keyBreaches checks that servers are told the right workspace and no key, that no key works for longer than
+// revokeBound after its revocation, and that the limited workspace stays within its limit. h.mu must be held.
+func (h *history) keyBreaches() []Breach {
 	var found []Breach
-	arrived := map[string]time.Time{} // requests of the limited workspace that ran
-	for name, state := range s.servers {
+	firstRuns := map[string]time.Time{} // when each request of the limited workspace first ran
+	for name, state := range h.servers {
 		for _, a := range state.Arrivals {
-			t, known := s.tries[a.ID]
+			req, known := h.requests[a.ID]
 			if !known {
-				continue // found elsewhere, or one of the last checks
+				continue // an unknown request is reported elsewhere; those of the last checks are not recorded
 			}
 			if a.KeyTold {
 				found = append(found, Breach{"no server is told a key", fmt.Sprintf("%s at %s", a.ID, name)})
 			}
-			if want := workspaceOf(t.key); a.Workspace != want || want == "" {
-				found = append(found, Breach{"a request runs as the workspace of its key", fmt.Sprintf("%s with %s reached %s as %q", a.ID, t.key, name, a.Workspace)})
+			if want := workspaceOf(req.key); a.Workspace != want || want == "" {
+				found = append(found, Breach{"a request runs as the workspace of its key", fmt.Sprintf("%s with %s reached %s as %q", a.ID, req.key, name, a.Workspace)})
 			}
-			if at, revoked := s.revoked(t.key); revoked && state.Runs[a.ID] > 0 && t.sent.Sub(at) > revokeBound {
-				found = append(found, Breach{"a key works no longer than the bound", fmt.Sprintf("%s sent %s after %s was taken away ran at %s", a.ID, t.sent.Sub(at), t.key, name)})
+			if at, revoked := h.revokedAt(req.key); revoked && state.Runs[a.ID] > 0 && req.sentAt.Sub(at) > revokeBound {
+				found = append(found, Breach{"a key works no longer than the bound", fmt.Sprintf("%s sent %s after %s was taken away ran at %s", a.ID, req.sentAt.Sub(at), req.key, name)})
 			}
-			if first, before := arrived[a.ID]; workspaceOf(t.key) == limitedWorkspace && state.Runs[a.ID] > 0 && (!before || a.At.Before(first)) {
-				arrived[a.ID] = a.At
+			if first, recorded := firstRuns[a.ID]; workspaceOf(req.key) == limitedWorkspace && state.Runs[a.ID] > 0 && (!recorded || a.At.Before(first)) {
+				firstRuns[a.ID] = a.At
 			}
 		}
 	}
-	if n, from := s.mostInWindow(arrived); n > quotaBound {
+	if n, from := h.maxInWindow(firstRuns); n > quotaBound {
 		found = append(found, Breach{"a workspace stays within its limit", fmt.Sprintf("%d requests ran in the %s from %s, %.0f are allowed", n, quotaWindow, from.Format("15:04:05.000"), quotaBound)})
 	}
 	return found
 }
 
-// mostInWindow needs mu. It returns how many requests at the most were sent and arrived in one
-// window, and when that began.
-func (s *seen) mostInWindow(arrived map[string]time.Time) (most int, from time.Time) {
+// maxInWindow returns the maximum number of requests that were sent and arrived within one quotaWindow, and the
+// beginning of that window. h.mu must be held.
+func (h *history) maxInWindow(firstRuns map[string]time.Time) (most int, from time.Time) {
 	type span struct{ sent, arrived time.Time }
 	var spans []span
-	for id, at := range arrived {
-		spans = append(spans, span{s.tries[id].sent, at})
+	for id, at := range firstRuns {
+		spans = append(spans, span{h.requests[id].sentAt, at})
 	}
 	slices.SortFunc(spans, func(a, b span) int { return a.sent.Compare(b.sent) })
 	for i, first := range spans {
--- a/soak/keys_test.go
+++ b/soak/keys_test.go
@@ -8,17 +8,17 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// TestKeysAreJudged: each promise about keys and limits is seen to break in a history that
-// breaks it, and not in one that keeps it.
-func TestKeysAreJudged(t *testing.T) {
+// TestKeyAndLimitChecksFindBreaches: a check of keys or limits that misses a breach, or reports one in a correct
+// history, would make soak results meaningless. Each breach must be found, and found alone.
+func TestKeyAndLimitChecksFindBreaches(t *testing.T) {
 	began := time.Unix(100, 0)
-	history := func(late time.Duration, requests int, workspace string, told bool) map[string]int {
-		s := newSeen(2)
-		s.versions = map[int64]time.Time{1: began, 2: began, 3: began.Add(time.Second), 4: began.Add(time.Minute)}
-		state := standin.State{Service: plain, Runs: map[string]int{}}
-		run := func(id, key, as string, at time.Time) {
-			s.tried(try{id: id, route: "safe", key: key, sent: at, status: 200, whole: true, body: "POST /safe/x body"})
-			state.Arrivals = append(state.Arrivals, standin.Arrival{ID: id, At: at.Add(time.Millisecond), Workspace: as, KeyTold: told})
+	history := func(late time.Duration, requests int, workspace string, keyPassed bool) map[string]int {
+		s := newHistory(2)
+		s.acknowledged = map[int64]time.Time{1: began, 2: began, 3: began.Add(time.Second), 4: began.Add(time.Minute)}
+		state := standin.State{Service: plainService, Runs: map[string]int{}}
+		run := func(id, key, runAs string, sentAt time.Time) {
+			s.addRequest(clientRequest{id: id, route: "safe", key: key, sentAt: sentAt, status: 200, complete: true, body: "POST /safe/x body"})
+			state.Arrivals = append(state.Arrivals, standin.Arrival{ID: id, At: sentAt.Add(time.Millisecond), Workspace: runAs, KeyTold: keyPassed})
 			state.Runs[id] = 1
 		}
 		run("steady", steadyKey, workspace, began)
@@ -34,7 +34,7 @@
 		return got
 	}
 	if got := history(revokeBound, int(quotaBound), steadyWorkspace, false); len(got) > 0 {
-		t.Errorf("a history that keeps all promises: %v", got)
+		t.Errorf("correct history: got breaches %v, want none", got)
 	}
 	for promise, got := range map[string]map[string]int{
 		"a key works no longer than the bound":       history(revokeBound+time.Millisecond, 1, steadyWorkspace, false),
@@ -43,7 +43,7 @@
 		"no server is told a key":                    history(0, 1, steadyWorkspace, true),
 	} {
 		if len(got) != 1 || got[promise] == 0 {
-			t.Errorf("want %q alone, got %v", promise, got)
+			t.Errorf("want only a breach of %q, got %v", promise, got)
 		}
 	}
 }
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -18,106 +18,108 @@
 	"github.com/martenport/martenport/platform"
 )
 
-// A request that ends each engine that begins it, repeated beside all other faults.
+// Poison requests crash each engine that begins to run them. Clients repeat them while other faults go on.
 
-// poison begins the bodies of such requests.
+// poison is the prefix of the bodies of poison requests.
 const poison = "poison"
 
-// Times and bounds of such requests.
+// Times and bounds of poison requests.
 const (
-	// poisonFor is for how long clients repeat one, each poisonPause.
-	poisonFor   = 14 * time.Second
-	poisonPause = 250 * time.Millisecond
-	poisoners   = 4
-	// engineDown is how long an engine is away after it has ended, and entryStays how long
-	// its entry is still there.
-	engineDown, entryStays = 1500 * time.Millisecond, 1200 * time.Millisecond
-	// mostEnds is how many engines may end under one request while all else fails, too.
-	mostEnds = 8
-	// heldAfter the third end no more than lateAllowed sends may reach engines.
-	endsToHold  = 3
-	heldAfter   = 3 * time.Second
-	lateAllowed = 3
+	// Clients repeat a poison request for poisonDuration, each of them every poisonInterval.
+	poisonDuration = 14 * time.Second
+	poisonInterval = 250 * time.Millisecond
+	poisonClients  = 4
+	// engineDowntime is how long a crashed engine stays down, and staleEntryTime how long its entry stays in the
+	// store.
+	engineDowntime, staleEntryTime = 1500 * time.Millisecond, 1200 * time.Millisecond
+	// maxEngineEnds is the maximum number of engines that may crash under one poison request while other faults go
+	// on.
+	maxEngineEnds = 8
+	// From quarantineDelay after the third crash (endsToQuarantine) on, at most maxLateSends sends may reach
+	// engines.
+	endsToQuarantine = 3
+	quarantineDelay  = 3 * time.Second
+	maxLateSends     = 3
 )
 
-// poisonings are the requests that ended engines in a run.
-type poisonings struct {
-	mu   sync.Mutex
-	made int                    // how many there are; guarded by mu
-	ends map[string][]time.Time // of engines, by body; guarded by mu
-	// inTouch says which tries met an instance in touch; guarded by mu.
-	inTouch map[string]bool
+// poisonLog records the poison requests of a run and the engines that they crashed.
+type poisonLog struct {
+	mu      sync.Mutex
+	created int                    // number of poison requests; guarded by mu
+	ends    map[string][]time.Time // times at which engines crashed, by body; guarded by mu
+	// entryStable says which requests were sent to a stable instance; guarded by mu.
+	entryStable map[string]bool
 }
 
-func newPoisonings() *poisonings {
-	return &poisonings{ends: map[string][]time.Time{}, inTouch: map[string]bool{}}
+func newPoisonLog() *poisonLog {
+	return &poisonLog{ends: map[string][]time.Time{}, entryStable: map[string]bool{}}
 }
 
-// poisonFault has clients repeat a new such request at random instances.
+// poisonFault makes clients repeat a new poison request at random instances.
 func (r *run) poisonFault(ctx context.Context) fault {
 	r.poisons.mu.Lock()
-	r.poisons.made++
-	body := fmt.Sprintf("%s-%d", poison, r.poisons.made)
+	r.poisons.created++
+	body := fmt.Sprintf("%s-%d", poison, r.poisons.created)
 	r.poisons.mu.Unlock()
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	seed := r.random.Uint64()
 	begin := func() {
-		for c := range poisoners {
+		for c := range poisonClients {
 			random := rand.New(rand.NewPCG(seed, uint64(c)))
-			work.Go(func() { r.repeatPoison(ctx, body, c, random) })
+			wg.Go(func() { r.repeatPoison(ctx, body, c, random) })
 		}
 	}
-	return fault{body + " sent", r.begins(0, begin), r.ends(0, func() {
-		work.Wait()
-		pause.For(ctx, engineDown)
+	return fault{body + " sent", r.beginDisturbance(0, begin), r.endDisturbance(0, func() {
+		wg.Wait()
+		pause.For(ctx, engineDowntime)
 	})}
 }
 
 func (r *run) repeatPoison(ctx context.Context, body string, client int, random *rand.Rand) {
-	limit := time.Now().Add(poisonFor)
-	for n := 0; time.Now().Before(limit) && pause.For(ctx, poisonPause); n++ {
-		t := try{id: fmt.Sprintf("%s-%d-%d", body, client, n), route: "stream", model: models[random.IntN(len(models))], payload: body}
+	deadline := time.Now().Add(poisonDuration)
+	for n := 0; time.Now().Before(deadline) && pause.For(ctx, poisonInterval); n++ {
+		req := clientRequest{id: fmt.Sprintf("%s-%d-%d", body, client, n), route: "stream", model: models[random.IntN(len(models))], payload: body}
 		entry := random.IntN(len(r.entries))
-		watch, inTouch := r.watch(entry, engines), r.inTouch(entry, time.Now())
-		t.send(r.entryAddress(entry))
-		watch.ended(&t)
-		r.seen.tried(t)
+		observed, entryStable := r.observe(entry, engineService), r.entryStable(entry, time.Now())
+		req.send(r.entryAddress(entry))
+		observed.finish(&req)
+		r.history.addRequest(req)
 		r.poisons.mu.Lock()
-		r.poisons.inTouch[t.id] = inTouch && t.undisturbed
+		r.poisons.entryStable[req.id] = entryStable && req.entryRunning
 		r.poisons.mu.Unlock()
 	}
 }
 
-// stateFile is where an engine that was ended by a request leaves what it has seen.
+// stateFile returns the file in which an engine that a request crashes saves its state.
 func (r *run) stateFile(engine, start int) string {
 	return filepath.Join(r.logs, fmt.Sprintf("server-%d-start-%d.state", engine, start))
 }
 
-// superviseEngine starts an engine again after a request has ended it, until ctx ends.
+// superviseEngine restarts an engine after a request has crashed it, until ctx is done.
 func (r *run) superviseEngine(ctx context.Context, i int) {
-	p, door := r.servers[i], r.doors[i]
+	p, proxy := r.servers[i], r.serverProxies[i]
 	for pause.For(ctx, 20*time.Millisecond) {
 		p.mu.Lock()
-		over, starts := p.cmd == nil && !p.ending, p.starts
+		exited, starts := p.cmd == nil && !p.terminating, p.starts
 		p.mu.Unlock()
-		if !over || !r.noteEnd(i, starts) {
+		if !exited || !r.recordEngineEnd(i, starts) {
 			continue
 		}
-		door.refuse(true)
-		pause.For(ctx, entryStays)
+		proxy.setRefusing(true)
+		pause.For(ctx, staleEntryTime)
 		key := platform.PrefixServers + r.serverID(i, starts-1)
 		if obj, err := r.client.Get(ctx, key); err == nil {
-			_ = r.client.Delete(ctx, key, obj.Version) // where the store is away the entry stays
+			_ = r.client.Delete(ctx, key, obj.Version) // if the store is unavailable the entry stays
 		}
-		pause.For(ctx, engineDown-entryStays)
-		door.refuse(false)
-		_ = p.start() // a failed start shows as not coming back
+		pause.For(ctx, engineDowntime-staleEntryTime)
+		proxy.setRefusing(false)
+		_ = p.start() // a failed start shows up in the recovery checks
 	}
 }
 
-// noteEnd takes over what an engine saw that a request has ended, and reports whether one
-// has.
-func (r *run) noteEnd(engine, starts int) bool {
+// recordEngineEnd adds the state of an engine that a request crashed to the history, and reports whether there is
+// such a state.
+func (r *run) recordEngineEnd(engine, starts int) bool {
 	text, err := os.ReadFile(r.stateFile(engine, starts-1))
 	if err != nil {
 		return false
@@ -126,48 +128,47 @@
 	if json.Unmarshal(text, &state) != nil {
 		return false
 	}
-	r.seen.add(fmt.Sprintf("%s start %d", r.servers[engine].name, starts), state)
+	r.history.addServerState(fmt.Sprintf("%s start %d", r.servers[engine].name, starts), state)
 	r.poisons.mu.Lock()
 	defer r.poisons.mu.Unlock()
 	r.poisons.ends[state.EndedBy] = append(r.poisons.ends[state.EndedBy], time.Now())
 	return true
 }
 
-// poisonBreaches checks how far each such request reached, and that no other was taken for
-// one.
+// poisonBreaches checks how many engines each poison request crashed, and that no other request was quarantined.
 func (r *run) poisonBreaches() []Breach {
 	r.poisons.mu.Lock()
 	defer r.poisons.mu.Unlock()
-	r.seen.mu.Lock()
-	defer r.seen.mu.Unlock()
+	r.history.mu.Lock()
+	defer r.history.mu.Unlock()
 	var found []Breach
 	for body, ends := range r.poisons.ends {
-		if len(ends) > mostEnds {
+		if len(ends) > maxEngineEnds {
 			found = append(found, Breach{"a request ends few engines", fmt.Sprintf("%d ended under %s", len(ends), body)})
 		}
-		if len(ends) < endsToHold {
+		if len(ends) < endsToQuarantine {
 			continue
 		}
 		slices.SortFunc(ends, time.Time.Compare)
-		if late := r.lateSends(body, ends[endsToHold-1].Add(heldAfter)); late > lateAllowed {
-			found = append(found, Breach{"a request that ended engines is held", fmt.Sprintf("%d sends of %s more than %s after the third end", late, body, heldAfter)})
+		if late := r.lateSends(body, ends[endsToQuarantine-1].Add(quarantineDelay)); late > maxLateSends {
+			found = append(found, Breach{"a request that ended engines is held", fmt.Sprintf("%d sends of %s more than %s after the third end", late, body, quarantineDelay)})
 		}
 	}
-	for _, t := range r.seen.tries {
-		if t.status == http.StatusBadRequest && !strings.HasPrefix(t.payload, poison) {
-			found = append(found, Breach{"a request that harms nobody is not held", t.id + " was refused for good"})
+	for _, req := range r.history.requests {
+		if req.status == http.StatusBadRequest && !strings.HasPrefix(req.payload, poison) {
+			found = append(found, Breach{"a request that harms nobody is not held", req.id + " was refused for good"})
 		}
 	}
 	return found
 }
 
-// lateSends needs both locks. It counts the sends of a request that reached engines after a
-// time, by instances in touch.
+// lateSends counts the sends of a poison request by stable instances that reached engines after the given time.
+// r.poisons.mu and r.history.mu must be held.
 func (r *run) lateSends(body string, after time.Time) int {
 	n := 0
-	for _, state := range r.seen.servers {
+	for _, state := range r.history.servers {
 		for _, a := range state.Arrivals {
-			if strings.HasPrefix(a.ID, body+"-") && a.At.After(after) && r.poisons.inTouch[a.ID] {
+			if strings.HasPrefix(a.ID, body+"-") && a.At.After(after) && r.poisons.entryStable[a.ID] {
 				n++
 			}
 		}
@@ -175,8 +176,8 @@
 	return n
 }
 
-// count counts the engines that requests ended.
-func (p *poisonings) count() int {
+// count returns the number of engines that requests crashed.
+func (p *poisonLog) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/soak/process.go
+++ b/soak/process.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// process is one program that the soak has started, and may start again.
+// process is a program that the soak starts, and may restart.
 type process struct {
 	name string
 	path string
@@ -20,18 +20,18 @@
 	logs string
 
 	mu     sync.Mutex
-	cmd    *exec.Cmd     // guarded by mu; nil while it does not run
+	cmd    *exec.Cmd     // guarded by mu; nil while the program does not run
 	ended  chan struct{} // closed when cmd has ended; guarded by mu
 	starts int           // guarded by mu
 	frozen bool          // guarded by mu
-	// signals counts those that stop, freeze or end the program, and ending is
-	// whether one that ends it was sent to this start; guarded by mu.
-	signals int
-	ending  bool
-	touched time.Time // when it was last started or got a signal; guarded by mu
+	// signals counts the signals sent other than SIGHUP, and terminating reports whether SIGTERM or SIGKILL was
+	// sent to the current start; guarded by mu.
+	signals       int
+	terminating   bool
+	lastDisturbed time.Time // when the program was last started or sent a signal; guarded by mu
 }
 
-// start starts the program unless it runs. Its output goes to a file of its own.
+// start starts the program unless it runs. Its output is appended to its own log file.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,11 +40,11 @@
 	}
 	log, err := os.OpenFile(filepath.Join(p.logs, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "soak: log")
+		return errors.Wrap(err, "soak: open log file")
 	}
 	cmd := exec.Command(p.path, p.args()...)
 	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a soak that is killed leaves nothing behind
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a killed soak leaves no processes behind
 	if err := cmd.Start(); err != nil {
 		_ = log.Close()
 		return errors.Wrapf(err, "soak: start %s", p.name)
@@ -52,9 +52,9 @@
 	ended := make(chan struct{})
 	p.cmd, p.ended = cmd, ended
 	p.starts++
-	p.ending, p.touched = false, time.Now()
+	p.terminating, p.lastDisturbed = false, time.Now()
 	go func() {
-		_ = cmd.Wait() // how it ended shows in its log
+		_ = cmd.Wait() // the cause of the exit is in the log
 		_ = log.Close()
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// runs reports whether the program runs.
-func (p *process) runs() bool {
+// running reports whether the program runs.
+func (p *process) running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
@@ -79,11 +79,11 @@
 		return
 	}
 	if s != syscall.SIGHUP {
-		p.signals++ // before the signal, so that nobody sees its effect without it
+		p.signals++ // counted before it is sent, so that its effect is never seen without the count
 	}
-	p.touched = time.Now()
-	p.ending = p.ending || s == syscall.SIGTERM || s == syscall.SIGKILL
-	_ = p.cmd.Process.Signal(s) // it may have ended just now
+	p.lastDisturbed = time.Now()
+	p.terminating = p.terminating || s == syscall.SIGTERM || s == syscall.SIGKILL
+	_ = p.cmd.Process.Signal(s) // the process may just have exited
 	switch s {
 	case syscall.SIGSTOP:
 		p.frozen = true
@@ -92,9 +92,9 @@
 	}
 }
 
-// end stops the program with a signal and waits; one that outlasts limit is
+// stop sends a signal to the program and waits for its exit, resuming it first if it is frozen. After limit it is
 // killed.
-func (p *process) end(s syscall.Signal, limit time.Duration) {
+func (p *process) stop(s syscall.Signal, limit time.Duration) {
 	p.mu.Lock()
 	ended, running := p.ended, p.cmd != nil
 	p.mu.Unlock()
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -11,40 +11,39 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// mode is what a proxy does with what passes through it.
+// mode is how a proxy treats traffic.
 type mode int
 
 // The modes.
 const (
-	pass mode = iota
-	// delay holds each piece back for a while.
-	delay
-	// silent lets nothing through, in both directions.
-	silent
-	// deaf lets nothing through towards the target.
-	deaf
-	// mute lets nothing back from the target: what was asked for is done, and
-	// its answer is lost.
-	mute
-	// reset resets each connection.
-	reset
+	passAll mode = iota
+	// delayChunks delays each chunk of data by chunkDelay.
+	delayChunks
+	// blockBoth blocks traffic in both directions.
+	blockBoth
+	// blockToTarget blocks traffic towards the target.
+	blockToTarget
+	// blockFromTarget blocks traffic from the target: requests are carried out, but their answers are lost.
+	blockFromTarget
+	// resetConns resets existing and new connections.
+	resetConns
 )
 
-// pieceDelay is how long a delaying proxy holds a piece back.
-const pieceDelay = 80 * time.Millisecond
+// chunkDelay is the delay of each chunk in mode delayChunks.
+const chunkDelay = 80 * time.Millisecond
 
-// proxy is a TCP proxy on loopback whose connections can be disturbed.
+// proxy is a TCP proxy on loopback that can disturb its connections.
 type proxy struct {
-	at, target string
-
-	mu       sync.Mutex
-	listener net.Listener      // guarded by mu
-	mode     mode              // guarded by mu
-	changed  time.Time         // when the mode last did; guarded by mu
-	conns    map[net.Conn]bool // guarded by mu
-	// refusing: nothing listens; guarded by mu.
-	refusing bool
-	woken    chan struct{} // closed when the mode changes; guarded by mu
+	listenAddress, target string
+
+	mu        sync.Mutex
+	listener  net.Listener      // guarded by mu
+	mode      mode              // guarded by mu
+	modeSince time.Time         // when the mode was last set; guarded by mu
+	conns     map[net.Conn]bool // guarded by mu
+	// refusing reports whether the listener is closed, so that connections are refused; guarded by mu.
+	refusing    bool
+	modeChanged chan struct{} // closed when the mode is set; guarded by mu
 }
 
 func newProxy(target string) (*proxy, error) {
@@ -52,46 +51,45 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, at: l.Addr().String(), target: target, conns: map[net.Conn]bool{}, woken: make(chan struct{})}
+	p := &proxy{listener: l, listenAddress: l.Addr().String(), target: target, conns: map[net.Conn]bool{}, modeChanged: make(chan struct{})}
 	go p.run(l)
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.at }
+func (p *proxy) address() string { return p.listenAddress }
 
 func (p *proxy) close() {
-	p.refuse(true)
-	p.set(reset)
+	p.setRefusing(true)
+	p.setMode(resetConns)
 }
 
-// refuse has connections be refused, as at an address at which nothing listens, or taken
-// again.
-func (p *proxy) refuse(refuses bool) {
+// setRefusing closes the listener, so that connections are refused, or opens it again at the same address.
+func (p *proxy) setRefusing(refusing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case refuses == p.refusing:
-	case refuses:
+	case refusing == p.refusing:
+	case refusing:
 		p.refusing = true
 		_ = p.listener.Close()
 	default:
-		l, err := net.Listen("tcp", p.at)
+		l, err := net.Listen("tcp", p.listenAddress)
 		if err != nil {
-			return // the server shows as not coming back
+			return // shows up in the recovery checks, since the server stays unreachable
 		}
 		p.refusing, p.listener = false, l
 		go p.run(l)
 	}
 }
 
-// set changes what is done from now on.
-func (p *proxy) set(m mode) {
+// setMode changes how traffic is treated from now on.
+func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mode, p.changed = m, time.Now()
-	close(p.woken)
-	p.woken = make(chan struct{})
-	if m != reset {
+	p.mode, p.modeSince = m, time.Now()
+	close(p.modeChanged)
+	p.modeChanged = make(chan struct{})
+	if m != resetConns {
 		return
 	}
 	for c := range p.conns {
@@ -102,10 +100,10 @@
 	}
 }
 
-func (p *proxy) current() (mode, chan struct{}) {
+func (p *proxy) currentMode() (mode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.mode, p.woken
+	return p.mode, p.modeChanged
 }
 
 func (p *proxy) run(l net.Listener) {
@@ -119,7 +117,7 @@
 }
 
 func (p *proxy) serve(client net.Conn) {
-	if m, _ := p.current(); m == reset {
+	if m, _ := p.currentMode(); m == resetConns {
 		_ = client.(*net.TCPConn).SetLinger(0)
 		_ = client.Close()
 		return
@@ -132,17 +130,17 @@
 	p.mu.Lock()
 	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(server, client, true) })
-	both.Go(func() { p.copy(client, server, false) })
-	both.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { p.copy(server, client, true) })
+	wg.Go(func() { p.copy(client, server, false) })
+	wg.Wait()
 	p.mu.Lock()
 	delete(p.conns, client)
 	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
-// copy passes pieces on until either side ends.
+// copy copies data from one connection to the other until either is closed.
 func (p *proxy) copy(to, from net.Conn, towardsTarget bool) {
 	defer to.Close()
 	defer from.Close()
@@ -150,7 +148,7 @@
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			p.hold(towardsTarget)
+			p.waitForMode(towardsTarget)
 			if wasReset(from) {
 				return
 			}
@@ -160,15 +158,15 @@
 		}
 		if err != nil {
 			if err == io.EOF {
-				p.hold(towardsTarget)
+				p.waitForMode(towardsTarget)
 			}
 			return
 		}
 	}
 }
 
-// wasReset reports whether the peer has reset the connection. What it had sent and
-// a partition held up is then lost, as it would be on a network.
+// wasReset reports whether the peer has reset the connection. Data that it sent before, and that the proxy holds
+// back, is then dropped, as it would be on a network.
 func wasReset(c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -176,21 +174,21 @@
 	}
 	pending := 0
 	err = raw.Control(func(fd uintptr) {
-		pending, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR) // an error says the same as a pending one
+		pending, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR) // a failed call also means that the connection is gone
 	})
 	return err != nil || pending != 0
 }
 
-// hold waits while the mode lets nothing through in a direction.
-func (p *proxy) hold(towardsTarget bool) {
+// waitForMode delays a chunk, or waits while the mode blocks the direction.
+func (p *proxy) waitForMode(towardsTarget bool) {
 	for {
-		m, woken := p.current()
+		m, changed := p.currentMode()
 		switch {
-		case m == delay:
-			time.Sleep(pieceDelay)
+		case m == delayChunks:
+			time.Sleep(chunkDelay)
 			return
-		case m == silent, m == deaf && towardsTarget, m == mute && !towardsTarget:
-			<-woken
+		case m == blockBoth, m == blockToTarget && towardsTarget, m == blockFromTarget && !towardsTarget:
+			<-changed
 		default:
 			return
 		}
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestHeldBytesOfResetAreDropped: what a partition holds up is delivered after it
-// if its sender still waits, and lost if it has reset the connection meanwhile.
+// TestHeldBytesOfResetAreDropped: data that a partition holds back is delivered after the partition if its sender
+// closed the connection, but dropped if the sender reset it. A proxy that delivered
+// it then had an engine accept an order long after its sender had given up.
 func TestHeldBytesOfResetAreDropped(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		target, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,11 +31,11 @@
 			t.Fatal(err)
 		}
 		defer server.Close()
-		p.set(silent)
+		p.setMode(blockBoth)
 		if _, err := client.Write([]byte("order")); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(50 * time.Millisecond) // the proxy has read it
+		time.Sleep(50 * time.Millisecond) // time for the proxy to read it
 		if reset {
 			_ = client.(*net.TCPConn).SetLinger(0)
 		}
@@ -42,10 +43,10 @@
 			t.Fatal(err)
 		}
 		time.Sleep(50 * time.Millisecond)
-		p.set(pass)
+		p.setMode(passAll)
 		got, _ := io.ReadAll(server)
 		if want := map[bool]string{false: "order", true: ""}[reset]; string(got) != want {
-			t.Errorf("reset %v: the target got %q, want %q", reset, got, want)
+			t.Errorf("reset %v: target received %q, want %q", reset, got, want)
 		}
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,9 +1,7 @@
-// Package soak runs the real programs as separate processes on loopback and
-// disturbs them from outside: signals, proxies that delay, reset, silence or cut one
-// way what passes between them, servers that fail what they are asked, and
-// configurations. Some clients open a connection for each request, others keep one.
-// What callers and backend servers see is checked against the promises; logs are kept
-// but not judged.
+// Package soak runs the real programs as separate processes on loopback and injects faults from outside: signals
+// to processes, TCP proxies that delay, reset or block traffic in one or both directions, servers that fail their
+// requests, and configuration changes. Some clients open a connection per request, others reuse one. What clients
+// and backend servers observe is checked against the promises of the system; logs are kept, but not checked.
 package soak
 
 import (
@@ -26,103 +24,102 @@
 	"github.com/martenport/martenport/platform"
 )
 
-// Params of one run.
+// Params are the parameters of a run.
 type Params struct {
 	Seed uint64
 	// For is how long faults are injected.
 	For time.Duration
-	// Entries, Engines and Plain are how many processes of each there are; Plain are
-	// those of the two plain services together.
+	// Entries, Engines and Plain are the numbers of entry instances, of engines, and of servers of the two plain
+	// services together.
 	Entries, Engines, Plain int
-	// Dir is where programs and logs go.
+	// Dir is the directory of the built programs and the logs.
 	Dir string
 }
 
 // Breach is a promise that was broken.
 type Breach struct{ Promise, Detail string }
 
-// Result of one run.
+// Result is the outcome of a run.
 type Result struct {
 	Requests, Answered, Refused, Failed int
 	Faults                              []string
-	// KeptClear counts the requests sent on kept connections that nothing disturbed,
-	// and Repeats the arrivals at servers beyond the first of each request.
+	// KeptClear counts the requests sent on reused connections while nothing on their path was disturbed. Repeats
+	// counts the arrivals at servers beyond the first of each request.
 	KeptClear, Repeats int
-	// Ended are the engines that requests ended.
+	// Ended counts the engines that crashed under a poison request.
 	Ended int
-	// Budget tells how near the repeated sends to each service came to the bound.
+	// Budget says, for each service, how close the repeated sends came to the bound.
 	Budget   []string
 	Breaches []Breach
 }
 
 // Times of a run.
 const (
-	// settleTime lets everything come back before the last checks: longer than
-	// a take-over of the lease.
+	// settleTime is the time between the end of the faults and the last checks. It is longer than a takeover of
+	// the lease.
 	settleTime = 12 * time.Second
-	// leaseMS is the least time between orders of two holders.
+	// leaseMS is the minimum time between orders of two holders.
 	leaseMS = 1000
-	// graceTime is from SIGTERM to SIGKILL.
-	graceTime = 8 * time.Second
-	// work is what a plain request takes, and the pause between events: long
-	// enough that many are under way when something breaks.
-	work = 40 * time.Millisecond
-	// comeBack bounds the last checks' requests.
-	comeBack = 30 * time.Second
+	// gracePeriod is the time from SIGTERM to SIGKILL.
+	gracePeriod = 8 * time.Second
+	// requestWork is how long a plain request takes, and the pause between events of a stream: long enough that
+	// many requests are in progress when a fault occurs.
+	requestWork = 40 * time.Millisecond
+	// recoveryTimeout bounds the wait for start-up, and for each target of the last checks to be served.
+	recoveryTimeout = 30 * time.Second
 )
 
-// subnets is how many ranges of addresses there are for runs.
+// subnets is the number of address ranges available to runs.
 const subnets = 250
 
-// mostProcesses is how many entry instances, and how many servers, a run has
-// addresses for.
-const mostProcesses = 250
+// maxProcesses is the number of entry instances, and of servers, that the addresses of a run suffice for.
+const maxProcesses = 250
 
-// models are what engines can load; two fit.
+// models are the models that engines can load. An engine has room for two.
 var models = []string{"m1", "m2", "m3", "m4", "m5"}
 
-// run is one soak under way.
+// run is the state of a soak run.
 type run struct {
-	params  Params
-	random  *rand.Rand
-	logs    string
-	subnet  int // of subnets
-	store   *process
-	storeAt string
-	client  *platform.Client
-	entries []*process
-	ways    []*proxy // to the store, by entry
-	servers []*process
-	doors   []*proxy // to each server
-	addr    []string // of each server
-	seen    seen
+	params          Params
+	random          *rand.Rand
+	logs            string
+	subnet          int // number of the run's address range, below subnets
+	store           *process
+	storeAddress    string
+	client          *platform.Client
+	entries         []*process
+	storeProxies    []*proxy // to the store, one per entry instance
+	servers         []*process
+	serverProxies   []*proxy // one per server
+	serverAddresses []string // one per server
+	history         history
 
-	troubles *troubles
-	poisons  *poisonings
-	// storeCalm knows how the store fares.
-	storeCalm storeCalm
-	herd      *herd
-	settings  settings
+	disturbances *disturbanceTracker
+	poisons      *poisonLog
+	// storeFaults records the faults of the store.
+	storeFaults storeFaultTracker
+	waker       *clientWaker
+	config      configState
 }
 
-// Run starts the processes, disturbs them, and checks. Its error says that the
-// soak itself failed.
+// Run starts the processes, injects faults and checks the promises. An error means that the soak itself failed;
+// broken promises are in the result.
 func Run(ctx context.Context, p Params) (Result, error) {
 	r := &run{
 		params: p, random: rand.New(rand.NewPCG(p.Seed, 1)), logs: filepath.Join(p.Dir, fmt.Sprintf("seed-%d", p.Seed)),
-		seen:     newSeen(p.Entries),
-		troubles: newTroubles(), poisons: newPoisonings(), storeCalm: storeCalm{active: map[string]bool{}}, herd: newHerd(), settings: settings{random: rand.New(rand.NewPCG(p.Seed, 2))},
+		history:      newHistory(p.Entries),
+		disturbances: newDisturbanceTracker(), poisons: newPoisonLog(), storeFaults: storeFaultTracker{active: map[string]bool{}}, waker: newClientWaker(), config: configState{random: rand.New(rand.NewPCG(p.Seed, 2))},
 	}
-	if p.Entries > mostProcesses || p.Engines+p.Plain > mostProcesses {
-		return Result{}, errors.Newf("soak: %d entries, %d servers: there are addresses for %d of each", p.Entries, p.Engines+p.Plain, mostProcesses)
+	if p.Entries > maxProcesses || p.Engines+p.Plain > maxProcesses {
+		return Result{}, errors.Newf("soak: %d entry instances and %d servers requested, at most %d of each are supported", p.Entries, p.Engines+p.Plain, maxProcesses)
 	}
-	alone, err := r.claim(subnets)
+	subnetLock, err := r.claimSubnet(subnets)
 	if err != nil {
 		return Result{}, err
 	}
-	defer alone.Close()
+	defer subnetLock.Close()
 	if err := os.MkdirAll(r.logs, 0o700); err != nil {
-		return Result{}, errors.Wrap(err, "soak")
+		return Result{}, errors.Wrap(err, "soak: create log directory")
 	}
 	if err := build(p.Dir); err != nil {
 		return Result{}, err
@@ -131,80 +128,80 @@
 	if err := r.start(ctx); err != nil {
 		return Result{}, err
 	}
-	clients, stopClients := context.WithCancel(ctx)
+	clientCtx, stopClients := context.WithCancel(ctx)
 	for i := range p.Engines {
-		go r.superviseEngine(clients, i)
+		go r.superviseEngine(clientCtx, i)
 	}
-	traffic := r.startClients(clients)
-	faults := r.disturb(ctx)
-	r.heal()
+	waitClients := r.startClients(clientCtx)
+	faults := r.injectFaults(ctx)
+	r.endAllFaults()
 	pause.For(ctx, settleTime)
 	stopClients()
-	result := traffic()
+	result := waitClients()
 	result.Faults = faults
-	r.collectAll()
-	result.Budget, result.Repeats = r.seen.budgetUses()
-	result.Breaches = append(result.Breaches, r.seen.breaches()...)
+	r.collectAllStates()
+	result.Budget, result.Repeats = r.history.budgetSummary()
+	result.Breaches = append(result.Breaches, r.history.breaches()...)
 	result.Ended = r.poisons.count()
 	result.Breaches = append(result.Breaches, r.poisonBreaches()...)
-	result.Breaches = append(result.Breaches, r.comesBack(ctx)...)
+	result.Breaches = append(result.Breaches, r.checkRecovery(ctx)...)
 	return result, nil
 }
 
-// claim takes addresses that no other run uses, until the listener that it returns is
-// closed: those of the seed, or else the next free of so many.
-func (r *run) claim(tries int) (net.Listener, error) {
+// claimSubnet reserves an address range that no other run uses: that of the seed, or else the next free one, for
+// at most so many tries. The range is reserved until the returned listener is closed.
+func (r *run) claimSubnet(tries int) (net.Listener, error) {
 	for n := range tries {
 		r.subnet = int((r.params.Seed + uint64(n)) % subnets)
 		if l, err := net.Listen("tcp", fmt.Sprintf("127.1.%d.254:7000", r.subnet)); err == nil {
 			return l, nil
 		}
 	}
-	return nil, errors.Newf("soak: other runs use the addresses 127.1.%d.x and the next %d", r.params.Seed%subnets, tries-1)
+	return nil, errors.Newf("soak: no free address range: other runs use 127.1.%d.x and the next %d ranges", r.params.Seed%subnets, tries-1)
 }
 
-// start starts the store, the servers and the entry instances.
+// start starts the store, the servers and the entry instances, and waits until all instances are ready.
 func (r *run) start(ctx context.Context) error {
-	r.storeAt = fmt.Sprintf("127.1.%d.1:7000", r.subnet)
-	r.store = r.process("store", "martendev", func() []string { return []string{"platform", "--listen", r.storeAt} })
+	r.storeAddress = fmt.Sprintf("127.1.%d.1:7000", r.subnet)
+	r.store = r.newProcess("store", "martendev", func() []string { return []string{"platform", "--listen", r.storeAddress} })
 	if err := r.store.start(); err != nil {
 		return err
 	}
-	r.client = platform.NewClient(platform.ClientParams{BaseURL: "http://" + r.storeAt, CallTimeout: time.Second, WatchWait: time.Second, CallsPerSecond: 1000})
-	if err := r.await(ctx, "store", func() bool { return r.configure(ctx) == nil }); err != nil {
+	r.client = platform.NewClient(platform.ClientParams{BaseURL: "http://" + r.storeAddress, CallTimeout: time.Second, WatchWait: time.Second, CallsPerSecond: 1000})
+	if err := r.await(ctx, "store", func() bool { return r.writeConfig(ctx) == nil }); err != nil {
 		return err
 	}
-	if !r.store.runs() {
-		return errors.Newf("soak: another process answers at the store's address %s", r.storeAt)
+	if !r.store.running() {
+		return errors.Newf("soak: another process answers at the store's address %s", r.storeAddress)
 	}
 	for i := range r.params.Engines + r.params.Plain {
-		if err := r.addServer(i); err != nil {
+		if err := r.startServer(i); err != nil {
 			return err
 		}
 	}
 	for i := range r.params.Entries {
-		if err := r.addEntry(i); err != nil {
+		if err := r.startEntry(i); err != nil {
 			return err
 		}
 	}
 	return r.await(ctx, "entry instances", r.allReady)
 }
 
-func (r *run) process(name, program string, args func() []string) *process {
+func (r *run) newProcess(name, program string, args func() []string) *process {
 	return &process{name: name, path: filepath.Join(r.params.Dir, program), args: args, logs: r.logs}
 }
 
-func (r *run) addServer(i int) error {
+func (r *run) startServer(i int) error {
 	address := fmt.Sprintf("127.3.%d.%d:9000", r.subnet, 1+i)
-	door, err := newProxy(address)
+	serverProxy, err := newProxy(address)
 	if err != nil {
-		return errors.Wrap(err, "soak: proxy")
+		return errors.Wrap(err, "soak: start proxy")
 	}
 	name := fmt.Sprintf("server-%d", i)
-	p := r.process(name, "martendev", nil)
+	p := r.newProcess(name, "martendev", nil)
 	p.args = func() []string {
-		args := []string{"server", "--listen", address, "--announced", door.address(), "--store", "http://" + r.storeAt, "--id", r.serverID(i, p.starts), "--work", work.String()}
-		args = append(args, "--service", r.serviceAt(i))
+		args := []string{"server", "--listen", address, "--announced", serverProxy.address(), "--store", "http://" + r.storeAddress, "--id", r.serverID(i, p.starts), "--work", requestWork.String()}
+		args = append(args, "--service", r.serverService(i))
 		if i >= r.params.Engines {
 			return args
 		}
@@ -212,35 +209,35 @@
 		for _, m := range models {
 			args = append(args, "--model", m)
 		}
-		if p.starts == 0 { // a restarted engine is empty
+		if p.starts == 0 { // a restarted engine has nothing loaded
 			args = append(args, "--loaded", models[i%len(models)], "--loaded", models[(i+1)%len(models)])
 		}
 		return args
 	}
-	r.servers, r.doors, r.addr = append(r.servers, p), append(r.doors, door), append(r.addr, address)
+	r.servers, r.serverProxies, r.serverAddresses = append(r.servers, p), append(r.serverProxies, serverProxy), append(r.serverAddresses, address)
 	return p.start()
 }
 
-// serverID is the id of a start of a server.
+// serverID returns the ID of one start of a server. Each start has its own.
 func (r *run) serverID(server, start int) string { return fmt.Sprintf("server-%d-%d", server, start) }
 
-// serviceAt is the service of a server: the engines come first, then those of the
-// plain services by turns.
-func (r *run) serviceAt(server int) string {
+// serverService returns the service of a server: engines come first, the others alternate between the plain
+// services.
+func (r *run) serverService(server int) string {
 	switch {
 	case server < r.params.Engines:
-		return engines
+		return engineService
 	case (server-r.params.Engines)%2 == 0:
-		return plain
+		return plainService
 	default:
-		return side
+		return sideService
 	}
 }
 
-func (r *run) addEntry(i int) error {
-	way, err := newProxy(r.storeAt)
+func (r *run) startEntry(i int) error {
+	storeProxy, err := newProxy(r.storeAddress)
 	if err != nil {
-		return errors.Wrap(err, "soak: proxy")
+		return errors.Wrap(err, "soak: start proxy")
 	}
 	ip := r.entryIP(i)
 	text := fmt.Sprintf(`nodeName = "entry-%d"
@@ -251,13 +248,13 @@
 limits = { cpuShare = 1.0, cores = 1 }
 bounds = { drainMs = 2000, graceS = %v, leaseMs = %d, budgetRatio = %v, budgetWindowS = %v, budgetExtra = %d, revokeFailClosed = true, revokeMs = %d, quotaWindowS = %v, quotaOverage = %v, quotaSlack = %v }
 platform = { address = "%s" }
-`, i, ip, i%3, ip, ip, graceTime.Seconds(), leaseMS, budgetRatio, budgetWindow.Seconds(), budgetExtra(r.params.Entries), revokeBound.Milliseconds(), quotaWindow.Seconds(), quotaOverage, quotaSlack, way.address())
+`, i, ip, i%3, ip, ip, gracePeriod.Seconds(), leaseMS, budgetRatio, budgetWindow.Seconds(), budgetExtra(r.params.Entries), revokeBound.Milliseconds(), quotaWindow.Seconds(), quotaOverage, quotaSlack, storeProxy.address())
 	path := filepath.Join(r.logs, fmt.Sprintf("entry-%d.toml", i))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		return errors.Wrap(err, "soak: settings")
+		return errors.Wrap(err, "soak: write settings")
 	}
-	p := r.process(fmt.Sprintf("entry-%d", i), "martenentryd", func() []string { return []string{"--settings", path} })
-	r.entries, r.ways = append(r.entries, p), append(r.ways, way)
+	p := r.newProcess(fmt.Sprintf("entry-%d", i), "martenentryd", func() []string { return []string{"--settings", path} })
+	r.entries, r.storeProxies = append(r.entries, p), append(r.storeProxies, storeProxy)
 	return p.start()
 }
 
@@ -265,16 +262,16 @@
 
 func (r *run) entryAddress(i int) string { return r.entryIP(i) + ":8100" }
 
-func (r *run) await(ctx context.Context, what string, holds func() bool) error {
-	for limit := time.Now().Add(comeBack); time.Now().Before(limit); {
-		if holds() {
+func (r *run) await(ctx context.Context, what string, condition func() bool) error {
+	for deadline := time.Now().Add(recoveryTimeout); time.Now().Before(deadline); {
+		if condition() {
 			return nil
 		}
 		if !pause.For(ctx, 50*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
-	return errors.Newf("soak: %s did not come up in %s", what, comeBack)
+	return errors.Newf("soak: %s did not come up in %s", what, recoveryTimeout)
 }
 
 func (r *run) allReady() bool {
@@ -291,35 +288,34 @@
 	return true
 }
 
-// collect takes over what a server has seen so far; one that does not answer has
-// nothing more to tell.
-func (r *run) collect(i int) {
+// collectState adds the state of a server to the history. It does nothing if the server does not answer.
+func (r *run) collectState(i int) {
 	client := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{}).DialContext}}
-	resp, err := client.Get("http://" + r.addr[i] + standin.PathState)
+	resp, err := client.Get("http://" + r.serverAddresses[i] + standin.PathState)
 	if err != nil {
 		return
 	}
 	defer resp.Body.Close()
 	var state standin.State
 	if json.NewDecoder(resp.Body).Decode(&state) == nil {
-		r.seen.add(fmt.Sprintf("%s start %d", r.servers[i].name, r.servers[i].starts), state)
+		r.history.addServerState(fmt.Sprintf("%s start %d", r.servers[i].name, r.servers[i].starts), state)
 	}
 }
 
-func (r *run) collectAll() {
+func (r *run) collectAllStates() {
 	for i := range r.servers {
-		r.collect(i)
+		r.collectState(i)
 	}
 }
 
-// stop ends every process that the run has started.
+// stop ends all processes and proxies of the run.
 func (r *run) stop() {
 	for _, p := range append(append(append([]*process{}, r.entries...), r.servers...), r.store) {
 		if p != nil {
-			p.end(syscall.SIGKILL, time.Second)
+			p.stop(syscall.SIGKILL, time.Second)
 		}
 	}
-	for _, p := range append(r.ways, r.doors...) {
+	for _, p := range append(r.storeProxies, r.serverProxies...) {
 		p.close()
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -12,9 +12,8 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// TestShortRun: the real programs, disturbed for a while by one seed, keep their
-// promises and serve everything again. Connections are kept while the idle limit
-// changes, and all instances are killed in a series while a service fails.
+// TestShortRun: the real programs keep their promises and recover under the faults of one seed. Among these are a
+// changing idle timeout while connections are reused, and repeated kills of all instances while a service fails.
 func TestShortRun(t *testing.T) {
 	root, err := filepath.Abs("..")
 	if err != nil {
@@ -26,10 +25,10 @@
 		t.Fatal(err)
 	}
 	if result.Answered == 0 || len(result.Faults) == 0 {
-		t.Errorf("%d answered, %d faults: nothing was tried", result.Answered, len(result.Faults))
+		t.Errorf("%d requests answered and %d faults injected, want at least one of each", result.Answered, len(result.Faults))
 	}
 	if result.KeptClear == 0 || result.Repeats == 0 {
-		t.Errorf("%d requests on kept connections of undisturbed instances, %d repeated sends: nothing was put to the test", result.KeptClear, result.Repeats)
+		t.Errorf("%d undisturbed requests on reused connections and %d repeated sends, want at least one of each", result.KeptClear, result.Repeats)
 	}
 	for _, b := range result.Breaches {
 		t.Errorf("%s: %s", b.Promise, b.Detail)
@@ -39,8 +38,8 @@
 	}
 }
 
-// TestRunsDoNotShareAddresses: a second run on the same addresses would mix up the
-// histories of both; it takes others, and is refused where there are none.
+// TestRunsDoNotShareAddresses: concurrent runs on the same addresses would mix up their histories. A second run
+// must take another address range, and must be refused if none is free.
 func TestRunsDoNotShareAddresses(t *testing.T) {
 	const taken = 17
 	other, err := net.Listen("tcp", fmt.Sprintf("127.1.%d.254:7000", taken))
@@ -49,36 +48,36 @@
 	}
 	defer other.Close()
 	second := run{params: Params{Seed: subnets + taken}}
-	if _, err := second.claim(1); err == nil || !strings.Contains(err.Error(), "other runs use") {
-		t.Errorf("%v, want a refusal", err)
+	if _, err := second.claimSubnet(1); err == nil || !strings.Contains(err.Error(), "other runs use") {
+		t.Errorf("claimSubnet of a range in use: got error %v, want one that says so", err)
 	}
-	alone, err := second.claim(subnets)
+	subnetLock, err := second.claimSubnet(subnets)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer alone.Close()
-	if second.subnet == taken || alone.Addr().String() == other.Addr().String() {
-		t.Errorf("the second run has the addresses 127.1.%d.x of the first", second.subnet)
+	defer subnetLock.Close()
+	if second.subnet == taken || subnetLock.Addr().String() == other.Addr().String() {
+		t.Errorf("the second run got the address range 127.1.%d.x of the first", second.subnet)
 	}
 }
 
-// TestHistoryIsJudged: each promise that the soak checks is seen to break in a
-// history that breaks it.
-func TestHistoryIsJudged(t *testing.T) {
-	s := newSeen(2)
-	s.tried(try{id: "twice", route: "unsafe", status: 502})
-	s.tried(try{id: "refused", route: "safe", status: 503})
-	s.tried(try{id: "others", route: "safe", status: 200, whole: true, body: "another's"})
-	s.tried(try{id: "short", route: "once", model: "m1", status: 200, whole: true, body: "id: 1\ndata: m1\n\n"})
-	s.tried(try{id: "cut", route: "once", model: "m1", status: 200, body: "id: 1\ndata: m1\n\n"})
-	s.tried(try{id: "late", route: "safe", status: 200, whole: true, body: "POST /safe/x body", undisturbed: true, took: time.Minute})
-	s.tried(try{id: "run and cut", route: "keep", kept: true, clear: true, sent: time.Unix(1, 0)})
-	s.tried(try{id: "read and cut", route: "keep", kept: true, clear: true, sent: time.Unix(1, 0), took: crossing})
-	s.tried(try{id: "answer cut", route: "once", model: "m1", status: 200, kept: true, clear: true, sent: time.Unix(1, 0)})
-	s.servers["e start 1"] = ran(map[string]int{"twice": 1, "refused": 1, "nobody's": 1, "run and cut": 1, "answer cut": 1})
-	s.servers["e start 2"] = ran(map[string]int{"twice": 1})
+// TestChecksFindBreaches: a check that misses a breach would let faults pass unnoticed. Each promise must be
+// reported as broken for a history that breaks it.
+func TestChecksFindBreaches(t *testing.T) {
+	s := newHistory(2)
+	s.addRequest(clientRequest{id: "twice", route: "unsafe", status: 502})
+	s.addRequest(clientRequest{id: "refused", route: "safe", status: 503})
+	s.addRequest(clientRequest{id: "others", route: "safe", status: 200, complete: true, body: "another's"})
+	s.addRequest(clientRequest{id: "short", route: "once", model: "m1", status: 200, complete: true, body: "id: 1\ndata: m1\n\n"})
+	s.addRequest(clientRequest{id: "cut", route: "once", model: "m1", status: 200, body: "id: 1\ndata: m1\n\n"})
+	s.addRequest(clientRequest{id: "late", route: "safe", status: 200, complete: true, body: "POST /safe/x body", entryRunning: true, duration: time.Minute})
+	s.addRequest(clientRequest{id: "run and cut", route: "keep", reusedConn: true, undisturbed: true, sentAt: time.Unix(1, 0)})
+	s.addRequest(clientRequest{id: "read and cut", route: "keep", reusedConn: true, undisturbed: true, sentAt: time.Unix(1, 0), duration: closeRaceTime})
+	s.addRequest(clientRequest{id: "answer cut", route: "once", model: "m1", status: 200, reusedConn: true, undisturbed: true, sentAt: time.Unix(1, 0)})
+	s.servers["e start 1"] = stateWithRuns(map[string]int{"twice": 1, "refused": 1, "nobody's": 1, "run and cut": 1, "answer cut": 1})
+	s.servers["e start 2"] = stateWithRuns(map[string]int{"twice": 1})
 	s.servers["e start 3"] = standin.State{Forgotten: 1}
-	s.servers["f start 1"] = standin.State{Service: side, Arrivals: repeated("refused", budgetExtra(2)+2)}
+	s.servers["f start 1"] = standin.State{Service: sideService, Arrivals: repeatedArrivals("refused", budgetExtra(2)+2)}
 	want := map[string]int{
 		"a non-idempotent request runs at most once": 1, "a refusal that says not run is true": 1, "only what a client sent runs": 1,
 		"each client gets the whole answer to its own request": 2, "each request is answered or refused in its time": 1,
@@ -91,16 +90,16 @@
 	}
 	for promise, n := range want {
 		if got[promise] != n {
-			t.Errorf("%s: %d breaches found, want %d", promise, got[promise], n)
+			t.Errorf("%s: got %d breaches, want %d", promise, got[promise], n)
 		}
 	}
 }
 
-// ran is what a server has seen that ran so much.
-func ran(runs map[string]int) standin.State { return standin.State{Runs: runs} }
+// stateWithRuns returns the state of a server with the given runs.
+func stateWithRuns(runs map[string]int) standin.State { return standin.State{Runs: runs} }
 
-// repeated are n arrivals of one attempt, a millisecond apart.
-func repeated(id string, n int) []standin.Arrival {
+// repeatedArrivals returns n arrivals of one request, a millisecond apart.
+func repeatedArrivals(id string, n int) []standin.Arrival {
 	var list []standin.Arrival
 	for i := range n {
 		list = append(list, standin.Arrival{ID: id, Workspace: steadyWorkspace, At: time.Unix(100, 0).Add(time.Duration(i) * time.Millisecond)})
@@ -108,27 +107,28 @@
 	return list
 }
 
-// TestLegalCrossingsAreNoBreach: what may end a kept connection without an answer.
-func TestLegalCrossingsAreNoBreach(t *testing.T) {
-	whole := try{route: "keep", kept: true, clear: true, sent: time.Unix(1, 0)}
-	for name, change := range map[string]func(*try) (runs int){
-		"a close crossed the request":         func(t *try) int { t.took = time.Millisecond; return 0 },
-		"nothing could be sent":               func(t *try) int { t.sent = time.Time{}; return 0 },
-		"the connection was new":              func(t *try) int { t.kept = false; return 1 },
-		"the instance or a way was disturbed": func(t *try) int { t.clear = false; return 1 },
-		"it was answered":                     func(t *try) int { t.status, t.whole = 200, true; return 1 },
-		"it was refused":                      func(t *try) int { t.status, t.whole = 503, true; return 0 },
-		"its time was over amid the answer":   func(t *try) int { t.status, t.took = 200, shortestTimeout; return 1 },
+// TestPermittedConnectionEndsAreNoBreach: a reused connection may end without an answer in these cases, so
+// reporting a breach would make the soak fail for no reason.
+func TestPermittedConnectionEndsAreNoBreach(t *testing.T) {
+	base := clientRequest{route: "keep", reusedConn: true, undisturbed: true, sentAt: time.Unix(1, 0)}
+	for name, change := range map[string]func(*clientRequest) (runs int){
+		"a close crossed the request":         func(t *clientRequest) int { t.duration = time.Millisecond; return 0 },
+		"nothing could be sent":               func(t *clientRequest) int { t.sentAt = time.Time{}; return 0 },
+		"the connection was new":              func(t *clientRequest) int { t.reusedConn = false; return 1 },
+		"the instance or a way was disturbed": func(t *clientRequest) int { t.undisturbed = false; return 1 },
+		"it was answered":                     func(t *clientRequest) int { t.status, t.complete = 200, true; return 1 },
+		"it was refused":                      func(t *clientRequest) int { t.status, t.complete = 503, true; return 0 },
+		"its time was over amid the answer":   func(t *clientRequest) int { t.status, t.duration = 200, shortestTimeout; return 1 },
 	} {
-		one := whole
-		if found := one.lostBreaches(change(&one)); len(found) != 0 {
-			t.Errorf("%s: %v", name, found)
+		req := base
+		if found := req.lostAnswerBreaches(change(&req)); len(found) != 0 {
+			t.Errorf("%s: got breaches %v, want none", name, found)
 		}
 	}
 }
 
-// TestBudgetBound: the bound counts requests as clients sent them, those of the window
-// before too, and no more than one window's repeated sends.
+// TestBudgetBound: the bound must count requests at the time at which clients sent them, those of the preceding
+// window included, and must not allow the repeated sends of more than one window.
 func TestBudgetBound(t *testing.T) {
 	begin := time.Unix(100, 0)
 	within := budgetExtra(2) + 5
@@ -143,13 +143,13 @@
 		"requests two windows before":     {begin.Add(-2 * budgetWindow), within, true},
 		"requests were made but not sent": {time.Time{}, within, true},
 	} {
-		s := newSeen(2)
+		s := newHistory(2)
 		for i := range 100 {
-			s.tried(try{id: strconv.Itoa(i), route: "keep", sent: c.sent, status: 200, whole: true, body: "POST /keep/x body"})
+			s.addRequest(clientRequest{id: strconv.Itoa(i), route: "keep", sentAt: c.sent, status: 200, complete: true, body: "POST /keep/x body"})
 		}
-		s.servers["f start 1"] = standin.State{Service: side, Runs: map[string]int{"1": 1}, Arrivals: repeated("1", c.repeats+1)}
+		s.servers["f start 1"] = standin.State{Service: sideService, Runs: map[string]int{"1": 1}, Arrivals: repeatedArrivals("1", c.repeats+1)}
 		if found := s.breaches(); (len(found) > 0) != c.broken {
-			t.Errorf("%s: %v, broken %v expected", name, found, c.broken)
+			t.Errorf("%s: got breaches %v, want any: %v", name, found, c.broken)
 		}
 	}
 }
