--- a/internal/standin/arrivals.go
+++ b/internal/standin/arrivals.go
@@ -7,61 +7,59 @@
 	"time"
 )
 
-// keptArrivals bounds what a Server remembers of the attempts that reach it: about
-// 6 MB.
-const keptArrivals = 1 << 16
+// maxArrivals bounds the attempts that a Server records, to about 6 MB.
+const maxArrivals = 1 << 16
 
-// Arrival is an attempt that reached a Server, run or not.
+// Arrival is an attempt that reached a Server, whether or not it ran.
 type Arrival struct {
 	ID string
 	At time.Time
-	// Workspace is whose it is by what the server was told, KeyTold whether the client's key
-	// was passed on to it.
+	// Workspace is the workspace that the request named, and KeyTold reports whether it carried the client's key.
 	Workspace string
 	KeyTold   bool
-	// Said is what the server said of itself in its answer.
+	// Said is what the server reported in the headers of its answer.
 	Said Words
 }
 
-// arrivals are the last attempts that reached a Server, and whether it fails them.
-type arrivals struct {
+// arrivalLog holds the latest attempts that reached a Server, and whether the server fails them.
+type arrivalLog struct {
 	mu        sync.Mutex
-	list      []Arrival // in the order of time, at most keptArrivals; guarded by mu
-	forgotten int       // how many older ones are not in list; guarded by mu
+	list      []Arrival // in chronological order, at most maxArrivals; guarded by mu
+	forgotten int       // number of older attempts dropped from list; guarded by mu
 	failing   bool      // guarded by mu
 }
 
-// add notes an attempt. When the list is full its older half is forgotten.
-func (a *arrivals) add(arrival Arrival) {
+// record adds an attempt. When the list is full its older half is dropped.
+func (a *arrivalLog) record(arrival Arrival) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.list) == keptArrivals {
-		a.list = append([]Arrival(nil), a.list[keptArrivals/2:]...)
-		a.forgotten += keptArrivals / 2
+	if len(a.list) == maxArrivals {
+		a.list = append([]Arrival(nil), a.list[maxArrivals/2:]...)
+		a.forgotten += maxArrivals / 2
 	}
 	a.list = append(a.list, arrival)
 }
 
-func (a *arrivals) all() (list []Arrival, forgotten int) {
+func (a *arrivalLog) all() (list []Arrival, forgotten int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.list), a.forgotten
 }
 
-func (a *arrivals) fails() bool {
+func (a *arrivalLog) isFailing() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.failing
 }
 
-// SetFailing has the server run each request and answer it with an error.
+// SetFailing sets whether the server answers each request with an error after running it.
 func (s *Server) SetFailing(failing bool) {
 	s.arrivals.mu.Lock()
 	defer s.arrivals.mu.Unlock()
 	s.arrivals.failing = failing
 }
 
-// PathFault sets a Server's faults: POST with ?failing=true or false.
+// PathFault is the path that sets a Server's faults: POST with ?failing=true or false.
 const PathFault = "/standin/fault"
 
 func (s *Server) serveFault(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// PathReady is where the platform's balancer asks an entry instance whether it is
-// ready.
+// PathReady is the path at which the platform's load balancer checks whether an entry instance is ready.
 const PathReady = "/v1/readyz"
 
-// ClientHeader returns the headers of a client's try: its id, the time that it
-// allows (none if 0) and the model that it needs (none if empty).
+// ClientHeader returns the headers of a client's attempt: its ID, its timeout (omitted if 0) and the model that it
+// requires (omitted if empty).
 func ClientHeader(id, model string, timeout time.Duration) http.Header {
 	h := http.Header{}
 	h.Set("Martenport-Attempt-Id", id)
@@ -24,5 +23,5 @@
 	return h
 }
 
-// KeyHeader is the header in which a client's request bears its key.
+// KeyHeader is the header that carries a client's API key.
 const KeyHeader = "X-Api-Key"
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -11,7 +11,7 @@
 	"github.com/martenport/martenport/store"
 )
 
-// RouteKind is what a route's requests are.
+// RouteKind says whether a route's requests may be repeated, and whether they are streamed.
 type RouteKind string
 
 // The kinds of routes.
@@ -21,54 +21,52 @@
 	StreamRoute RouteKind = "streaming"
 )
 
-// Route is a route of a Config, by host and path prefix.
+// Route is a route of a Config, selected by host and path prefix.
 type Route struct {
-	// Name is also the path prefix, between slashes.
+	// Name is also the path prefix, enclosed in slashes.
 	Name, Host, Service string
 	Kind                RouteKind
-	// Timeout is the longest time, Objective the one for a timely answer.
+	// Timeout is the maximum duration of a request, Objective the duration within which it is on time.
 	Timeout, Objective time.Duration
 	Attempts           int
 	Resumable          bool
-	// Public: requests need no key.
+	// Public reports whether requests need no key.
 	Public bool
 }
 
-// Workspace is whose requests are.
+// Workspace is a workspace of a Config, with its keys and its limit.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Rate a second and Burst bound its requests over all instances, in tokens; no limit if
-	// Rate is 0.
+	// Rate, per second, and Burst limit its requests over all instances, in tokens. A Rate of 0 means no limit.
 	Rate, Burst float64
 }
 
-// plainTokens is what a request counts that does not say its size.
+// plainTokens is the cost of a request without a token count.
 const plainTokens = 200
 
-// Config is a configuration as the platform's operator writes it: plain services,
-// and one service of model engines that are all alike.
+// Config is a configuration as the platform's operators write it: plain services, and one service of identical
+// model engines.
 type Config struct {
 	Version int64
 	Routes  []Route
-	// Plain are the names of plain services, Engines that of the engines'.
+	// Plain are the names of the plain services, and Engines is the name of the engines' service.
 	Plain   []string
 	Engines string
-	// Models are what engines can load, and MemoryMB and AdapterSlots their room.
+	// Models are the models that engines can load; MemoryMB and AdapterSlots are the capacity of an engine.
 	Models       map[string]ServerModel
 	MemoryMB     float64
 	AdapterSlots int
-	// RemoteLoad is the time of a load from the weight store, which allows
-	// LoadsPerSecond.
+	// RemoteLoad is the duration of a load from the weight store, which permits LoadsPerSecond.
 	RemoteLoad     time.Duration
 	LoadsPerSecond float64
-	// Workspaces is nil where requests need no key.
+	// Workspaces is nil if requests need no key.
 	Workspaces []Workspace
-	// IdleTimeout is how long clients' connections may be idle.
+	// IdleTimeout is the idle timeout of clients' connections, configIdleTimeout if 0.
 	IdleTimeout time.Duration
 }
 
-// Limits on clients in every Config; configIdleTimeout in one without IdleTimeout.
+// Limits on clients in every Config.
 const (
 	configHeaderBytes   = 16 << 10
 	configBodyBytes     = 1 << 20
@@ -76,10 +74,10 @@
 	configHeaderTimeout = 3 * time.Second
 )
 
-// adapters is how many adapters each model has.
-const adapters = 4
+// adaptersPerModel is the number of adapters of each model.
+const adaptersPerModel = 4
 
-// Encode returns the configuration as the store keeps it.
+// Encode returns the configuration as it is stored.
 func (c Config) Encode() ([]byte, error) {
 	routes := []map[string]any{}
 	for _, r := range c.Routes {
@@ -96,7 +94,7 @@
 	for name, m := range c.Models {
 		models = append(models, map[string]any{
 			"name": name, "weightsMb": m.MemoryMB, "loadS": c.RemoteLoad.Seconds(), "diskS": m.Load.Seconds(), "warmS": m.Load.Seconds(),
-			"adapters": adapters, "adapterSizeMb": m.AdapterMB,
+			"adapters": adaptersPerModel, "adapterSizeMb": m.AdapterMB,
 		})
 	}
 	services = append(services, map[string]any{"name": c.Engines, "engine": map[string]any{
@@ -130,7 +128,7 @@
 	return list
 }
 
-// Write puts the configuration in force in a store.
+// Write writes the configuration to a store.
 func (c Config) Write(ctx context.Context, s store.Store) error {
 	value, err := c.Encode()
 	if err != nil {
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// counter counts by name.
+// counter counts occurrences by name.
 type counter struct {
 	mu     sync.Mutex
 	counts map[string]int // guarded by mu
@@ -20,7 +20,7 @@
 	c.counts[name]++
 }
 
-func (c *counter) all() map[string]int {
+func (c *counter) snapshot() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.counts)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,30 +14,30 @@
 	"github.com/martenport/martenport/internal/pause"
 )
 
-// reportWait is how long a report waits for a change of what is loaded, and so
-// the lag of the load figures in it.
+// reportWait is how long a report waits for a change of the loaded units. It bounds the delay of the load figures
+// in a report, since a change of these alone does not end the wait.
 const reportWait = 500 * time.Millisecond
 
-// noiseQueue is the longest queue reported under SetLoadNoise.
-const noiseQueue = 8
+// maxNoiseQueue bounds the queue lengths that are reported under SetLoadNoise.
+const maxNoiseQueue = 8
 
-// keptOrders is how many order ids an engine remembers.
-const keptOrders = 64
+// maxOrderIDs is the number of order IDs that an engine remembers.
+const maxOrderIDs = 64
 
-// EngineParams describe a stand-in engine.
+// EngineParams are the parameters of a stand-in engine.
 type EngineParams struct {
 	Name        string
 	MemoryBytes int64
 	// Fencing makes the engine refuse orders with an old epoch.
 	Fencing bool
-	// StepTime is the time of one token; MaxBatch requests share the steps.
+	// StepTime is the time per token. At most MaxBatch requests run at once.
 	StepTime time.Duration
 	MaxBatch int
 	Speeds   Speeds
 	Weights  *WeightStore
-	// Tiers says where checkpoints are cached at the start.
+	// Tiers are the initial cache tiers of checkpoints.
 	Tiers map[string]backend.Tier
-	// Credential, if not empty, must come with each order.
+	// Credential, if not empty, is required with each order.
 	Credential string
 }
 
@@ -56,26 +56,26 @@
 	attempts    map[string]*attempt     // guarded by mu
 	leaving     bool                    // guarded by mu
 	role        string                  // guarded by mu
-	changed     chan struct{}           // guarded by mu; closed at each change
+	changed     chan struct{}           // closed at each change; guarded by mu
 	tally       Tally                   // guarded by mu
-	runs        map[string]int          // guarded by mu; by prompt
+	runs        map[string]int          // by prompt; guarded by mu
 	loadHook    func(o backend.Order)   // guarded by mu
 	stopLoads   context.CancelFunc      // guarded by mu
 	loadCtx     context.Context         // guarded by mu
-	waiting     int                     // guarded by mu
-	noise       bool                    // guarded by mu; report a load that changes
+	queued      int                     // guarded by mu
+	loadNoise   bool                    // report random queue lengths; guarded by mu
 	slowdown    float64                 // guarded by mu
 }
 
-// Tally counts what an engine saw, for checks.
+// Tally holds counts of an engine for checks.
 type Tally struct {
-	// Loads counts loads started, Overcommits those that passed the memory.
+	// Loads counts the loads started, Overcommits those that exceeded the engine's memory.
 	Loads, Overcommits int
-	// StaleOrders counts orders refused for their epoch.
+	// StaleOrders counts the orders refused because of an old epoch.
 	StaleOrders int
-	// Requests counts attempts begun.
+	// Requests counts the attempts begun.
 	Requests int
-	// PeakBytes is the most memory ever in use.
+	// PeakBytes is the maximum memory in use so far.
 	PeakBytes int64
 }
 
@@ -91,7 +91,7 @@
 	return e
 }
 
-// reset needs mu or an engine that nobody else knows.
+// reset clears the state of the engine and gives it a new incarnation. e.mu must be held, except in NewEngine.
 func (e *Engine) reset() {
 	e.incarnation = uuid.NewString()
 	e.units = map[string]*unit{}
@@ -113,32 +113,32 @@
 	e.orders = nil
 	e.role = ""
 	e.reset()
-	e.bump()
+	e.notifyChange()
 }
 
-// SetLeaving announces that the engine is going.
+// SetLeaving sets whether the engine reports that it is leaving.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
-	e.bump()
+	e.notifyChange()
 }
 
-// SetSlowdown multiplies the step time.
+// SetSlowdown sets the factor that the step time is multiplied by.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slowdown = factor
 }
 
-// SetLoadNoise makes each report show another queue, as a busy engine's would.
+// SetLoadNoise sets whether each report has a random queue length, as from a busy engine.
 func (e *Engine) SetLoadNoise(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.noise = on
+	e.loadNoise = on
 }
 
-// OnLoad calls f, outside locks, with each load order before it is looked at.
+// OnLoad sets a function that is called with each load order before it is processed, without locks held.
 func (e *Engine) OnLoad(f func(o backend.Order)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,7 +152,7 @@
 	return e.tally
 }
 
-// Runs returns how often each prompt was begun.
+// Runs returns the number of runs begun, by prompt.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -167,7 +167,7 @@
 	return found
 }
 
-// Models lists the models, without adapters, that occupy memory.
+// Models returns the models that occupy memory, without adapters.
 func (e *Engine) Models() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -180,8 +180,8 @@
 	return out
 }
 
-// bump needs mu.
-func (e *Engine) bump() {
+// notifyChange increments the sequence and wakes waiting reports. e.mu must be held.
+func (e *Engine) notifyChange() {
 	e.sequence++
 	close(e.changed)
 	e.changed = make(chan struct{})
@@ -197,7 +197,7 @@
 	return e.report(), nil
 }
 
-// checkEpoch needs mu.
+// checkEpoch refuses an old epoch if fencing is on, and records a new one. e.mu must be held.
 func (e *Engine) checkEpoch(epoch uint64) error {
 	if !e.params.Fencing {
 		return nil
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// Load implements backend.Engine. It does not refuse for lack of memory but
-// counts the breach: keeping the account is the orderer's work.
+// Load implements backend.Engine. It accepts loads that exceed the engine's memory and counts them as overcommits,
+// since accounting for memory is the task of the orderer.
 func (e *Engine) Load(_ context.Context, o backend.Order) (backend.Ack, error) {
 	e.mu.Lock()
 	hook := e.loadHook
@@ -221,7 +221,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.receive(o); err != nil {
+	if err := e.acceptOrder(o); err != nil {
 		return backend.Ack{}, err
 	}
 	ack := backend.Ack{Incarnation: e.incarnation}
@@ -231,12 +231,12 @@
 	if _, found := e.units[o.Model]; o.Adapter != "" && !found {
 		return backend.Ack{}, backend.ErrRefused
 	}
-	e.start(o)
+	e.startLoad(o)
 	return ack, nil
 }
 
-// receive needs mu.
-func (e *Engine) receive(o backend.Order) error {
+// acceptOrder checks the epoch and the incarnation of an order and records its ID. e.mu must be held.
+func (e *Engine) acceptOrder(o backend.Order) error {
 	if err := e.checkEpoch(o.Epoch); err != nil {
 		return err
 	}
@@ -244,14 +244,14 @@
 		return backend.ErrRefused
 	}
 	e.orders = append(e.orders, o.ID)
-	if len(e.orders) > keptOrders {
+	if len(e.orders) > maxOrderIDs {
 		e.orders = e.orders[1:]
 	}
 	return nil
 }
 
-// start needs mu.
-func (e *Engine) start(o backend.Order) {
+// startLoad begins a load and counts it. e.mu must be held.
+func (e *Engine) startLoad(o backend.Order) {
 	ctx, stop := context.WithCancel(e.loadCtx)
 	u := &unit{stop: stop}
 	u.Unit, u.State, u.MemoryBytes = o.Unit, backend.Loading, o.MemoryBytes
@@ -262,11 +262,11 @@
 	if used > e.params.MemoryBytes {
 		e.tally.Overcommits++
 	}
-	e.bump()
+	e.notifyChange()
 	go e.load(ctx, u, e.tierOf(o.Unit.ID()))
 }
 
-// used needs mu.
+// used returns the bytes of memory in use. e.mu must be held.
 func (e *Engine) used() int64 {
 	var sum int64
 	for _, u := range e.units {
@@ -275,7 +275,7 @@
 	return sum
 }
 
-// tierOf needs mu.
+// tierOf returns the tier that a unit is cached in. e.mu must be held.
 func (e *Engine) tierOf(id string) backend.Tier {
 	if t, found := e.tiers[id]; found {
 		return t
@@ -299,26 +299,26 @@
 	}
 	u.State = backend.Resident
 	e.tiers[u.Unit.ID()] = backend.TierMemory
-	e.bump()
+	e.notifyChange()
 }
 
 // Unload implements backend.Engine.
 func (e *Engine) Unload(_ context.Context, o backend.Order) (backend.Ack, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.receive(o); err != nil {
+	if err := e.acceptOrder(o); err != nil {
 		return backend.Ack{}, err
 	}
 	ack := backend.Ack{Incarnation: e.incarnation}
 	u, found := e.units[o.Unit.ID()]
 	if !found {
-		e.bump()
+		e.notifyChange()
 		return ack, nil
 	}
 	u.stop()
 	u.State = backend.Unloading
-	e.freeIdle()
-	e.bump()
+	e.removeIdle()
+	e.notifyChange()
 	return ack, nil
 }
 
@@ -326,17 +326,16 @@
 func (e *Engine) SetRole(_ context.Context, o backend.Order) (backend.Ack, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.receive(o); err != nil {
+	if err := e.acceptOrder(o); err != nil {
 		return backend.Ack{}, err
 	}
 	e.role = o.Role
-	e.bump()
+	e.notifyChange()
 	return backend.Ack{Incarnation: e.incarnation}, nil
 }
 
-// freeIdle removes units that are unloading and serve nothing, with the
-// adapters of a removed model. It needs mu.
-func (e *Engine) freeIdle() {
+// removeIdle removes unloading units that run no requests, and with a model its adapters. e.mu must be held.
+func (e *Engine) removeIdle() {
 	for id, u := range e.units {
 		if u.State != backend.Unloading || u.Running > 0 {
 			continue
@@ -371,16 +370,16 @@
 	}
 }
 
-// report needs mu.
+// report returns the current report. e.mu must be held.
 func (e *Engine) report() backend.Report {
 	r := backend.Report{
 		Incarnation: e.incarnation, Sequence: e.sequence, Epoch: e.epoch,
 		MemoryBytes: e.params.MemoryBytes, Leaving: e.leaving, Role: e.role,
-		Queue: e.waiting, Running: len(e.batch),
+		Queue: e.queued, Running: len(e.batch),
 		Orders: slices.Clone(e.orders), Tiers: maps.Clone(e.tiers),
 	}
-	if e.noise {
-		r.Queue = rand.IntN(noiseQueue)
+	if e.loadNoise {
+		r.Queue = rand.IntN(maxNoiseQueue)
 	}
 	for _, u := range e.units {
 		r.Units = append(r.Units, u.UnitReport)
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -13,11 +13,11 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// maxRequestBytes bounds what an engine or service reads of a request.
+// maxRequestBytes bounds the size of a request body that an engine or service reads.
 const maxRequestBytes = 16 << 20
 
-// Handler serves the engine over HTTP. POST /fault?leaving=true, ?restart=true
-// and ?slowdown=2 set its faults; GET /tally returns its counts.
+// Handler returns the HTTP interface of the engine. POST /fault?leaving=true, ?restart=true and ?slowdown=2 set
+// its faults; GET /tally returns its counts, and GET /runs the number of runs by prompt.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+backend.PathFence, e.serveFence)
@@ -116,7 +116,7 @@
 	for {
 		t, err := s.Next()
 		if err != nil {
-			panic(http.ErrAbortHandler) // break the answer off
+			panic(http.ErrAbortHandler) // cut the answer off
 		}
 		if encoder.Encode(t) != nil {
 			return
@@ -166,15 +166,15 @@
 // Service is a stand-in plain service that echoes its calls.
 type Service struct {
 	Name string
-	// Work is how long a call takes.
+	// Work is the duration of a call.
 	Work time.Duration
 	runs counter
 }
 
-// Runs returns how often each body was run.
-func (s *Service) Runs() map[string]int { return s.runs.all() }
+// Runs returns the number of runs by body.
+func (s *Service) Runs() map[string]int { return s.runs.snapshot() }
 
-// Handler serves the service over HTTP.
+// Handler returns the HTTP interface of the service. GET /runs returns the number of runs by body.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+backend.PathCall, s.serveCall)
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -11,10 +11,10 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// attemptKept is how long a finished or abandoned attempt can be resumed.
-const attemptKept = 5 * time.Second
+// attemptRetention is how long an attempt can be resumed after its end.
+const attemptRetention = 5 * time.Second
 
-// attempt is one request in an engine.
+// attempt is a request in an engine.
 type attempt struct {
 	id   string
 	stop context.CancelFunc
@@ -25,7 +25,7 @@
 	changed chan struct{}   // guarded by mu
 }
 
-func (a *attempt) add(t backend.Token) {
+func (a *attempt) addToken(t backend.Token) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.tokens = append(a.tokens, t)
@@ -41,13 +41,13 @@
 	a.changed = make(chan struct{})
 }
 
-// Generate implements backend.Engine. An attempt id that is known resumes.
+// Generate implements backend.Engine. If the attempt's ID is known, it resumes that attempt.
 func (e *Engine) Generate(ctx context.Context, req backend.Attempt) (backend.Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a, found := e.attempts[req.ID]
 	if found {
-		return &reader{ctx: ctx, attempt: a, next: req.From}, nil
+		return &tokenReader{ctx: ctx, attempt: a, next: req.From}, nil
 	}
 	if req.Resume {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.ReasonBroken, "attempt %s is not known any more", req.ID)
@@ -64,10 +64,10 @@
 	u.Served++
 	u.Running++
 	go e.run(runCtx, a, u, req)
-	return &reader{ctx: ctx, attempt: a}, nil
+	return &tokenReader{ctx: ctx, attempt: a}, nil
 }
 
-// admit needs mu.
+// admit refuses an attempt if the engine is leaving or the unit is not resident. e.mu must be held.
 func (e *Engine) admit(req backend.Attempt) error {
 	if e.leaving {
 		return verdict.Refuse(verdict.ReasonBackend, "engine is leaving")
@@ -81,33 +81,33 @@
 
 func (e *Engine) run(ctx context.Context, a *attempt, u *unit, req backend.Attempt) {
 	defer e.finish(a, u)
-	e.wait(1)
+	e.addQueued(1)
 	select {
 	case e.batch <- struct{}{}:
-		e.wait(-1)
+		e.addQueued(-1)
 	case <-ctx.Done():
-		e.wait(-1)
+		e.addQueued(-1)
 		a.fail()
 		return
 	}
 	defer func() { <-e.batch }()
 	for i := range int64(req.MaxTokens) {
-		if !pause.For(ctx, e.step()) {
+		if !pause.For(ctx, e.stepTime()) {
 			a.fail()
 			return
 		}
-		a.add(backend.Token{Attempt: a.id, Sequence: i, Text: fmt.Sprintf("%s:%d ", req.Prompt, i)})
+		a.addToken(backend.Token{Attempt: a.id, Sequence: i, Text: fmt.Sprintf("%s:%d ", req.Prompt, i)})
 	}
-	a.add(backend.Token{Attempt: a.id, Sequence: int64(req.MaxTokens), End: true})
+	a.addToken(backend.Token{Attempt: a.id, Sequence: int64(req.MaxTokens), End: true})
 }
 
-func (e *Engine) wait(delta int) {
+func (e *Engine) addQueued(delta int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.waiting += delta
+	e.queued += delta
 }
 
-func (e *Engine) step() time.Duration {
+func (e *Engine) stepTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Duration(float64(e.params.StepTime) * e.slowdown)
@@ -117,12 +117,12 @@
 	e.mu.Lock()
 	u.Running--
 	if u.State == backend.Unloading {
-		e.freeIdle()
-		e.bump()
+		e.removeIdle()
+		e.notifyChange()
 	}
 	ctx := e.loadCtx
 	e.mu.Unlock()
-	pause.For(ctx, attemptKept)
+	pause.For(ctx, attemptRetention)
 	e.mu.Lock()
 	delete(e.attempts, a.id)
 	e.mu.Unlock()
@@ -138,15 +138,15 @@
 	return nil
 }
 
-// reader is a backend.Stream over an attempt.
-type reader struct {
+// tokenReader is a backend.Stream of the tokens of an attempt.
+type tokenReader struct {
 	ctx     context.Context
 	attempt *attempt
 	next    int64
 }
 
 // Next implements backend.Stream.
-func (r *reader) Next() (backend.Token, error) {
+func (r *tokenReader) Next() (backend.Token, error) {
 	for {
 		r.attempt.mu.Lock()
 		ready, failed, changed := int64(len(r.attempt.tokens)) > r.next, r.attempt.failed, r.attempt.changed
@@ -171,4 +171,4 @@
 }
 
 // Close implements backend.Stream.
-func (r *reader) Close() error { return nil }
+func (r *tokenReader) Close() error { return nil }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,7 +1,6 @@
-// Package standin holds small stand-ins for the systems outside: the
-// platform's object API, model engines with their weight store, and plain
-// services. They do what the brief says of the real ones, faults included,
-// and are used by tests and by martendev.
+// Package standin provides stand-ins for external systems: the platform's object API, model engines with their
+// weight store, and plain services. They follow the specification of the real systems, including their faults, and
+// are used by tests and by martendev.
 package standin
 
 import (
@@ -16,26 +15,26 @@
 	"github.com/martenport/martenport/store"
 )
 
-// watchWait is how long a watch waits for a change before it answers empty.
+// watchWait is how long a watch waits for a change before it returns an empty result.
 const watchWait = 5 * time.Second
 
-// maxValueBytes is the largest value that the platform takes.
+// maxValueBytes is the maximum size of a value.
 const maxValueBytes = 1 << 20
 
-// Platform is an in-memory store.Store with faults.
+// Platform is an in-memory store.Store with configurable faults.
 type Platform struct {
-	// Reads, Writes and Watches count calls, failed ones included.
+	// Reads, Writes and Watches count calls, including failed ones.
 	Reads, Writes, Watches atomic.Int64
 
-	mu       sync.Mutex
-	objects  map[string]store.Object // guarded by mu
-	revision store.Revision          // the last one given out; guarded by mu
-	changed  chan struct{}           // guarded by mu; closed at each change
-	down     bool                    // guarded by mu
-	delay    time.Duration           // guarded by mu
-	lose     int                     // guarded by mu; answers of writes still to lose
-	deaf     bool                    // guarded by mu; watches are not answered
-	copied   Copy                    // the copy that was asked for last; guarded by mu
+	mu             sync.Mutex
+	objects        map[string]store.Object // guarded by mu
+	revision       store.Revision          // the last one assigned; guarded by mu
+	changed        chan struct{}           // closed at each change; guarded by mu
+	down           bool                    // guarded by mu
+	delay          time.Duration           // guarded by mu
+	answersToLose  int                     // number of answers to writes still to lose; guarded by mu
+	watchesBlocked bool                    // watches get no answer; guarded by mu
+	lastCopy       Copy                    // the last backup requested over HTTP; guarded by mu
 }
 
 // NewPlatform returns an empty platform.
@@ -43,15 +42,15 @@
 	return &Platform{objects: map[string]store.Object{}, changed: make(chan struct{})}
 }
 
-// SetDown starts or ends an outage: calls fail and are not carried out.
+// SetDown starts or ends an outage, in which calls fail without effect.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
-	p.wake()
+	p.notifyChange()
 }
 
-// SetDelay makes each call wait before it is carried out.
+// SetDelay sets the delay of each call before it takes effect.
 func (p *Platform) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,19 +61,19 @@
 func (p *Platform) LoseAnswers(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lose = n
+	p.answersToLose = n
 }
 
-// DeafenWatches begins or ends that watches are not answered, those that wait and new ones. They
-// stay without an answer when that is over; all other calls are answered.
-func (p *Platform) DeafenWatches(deaf bool) {
+// DeafenWatches sets whether pending and new watches get no answer. A watch without an answer stays pending when
+// this ends. Other calls are not affected.
+func (p *Platform) DeafenWatches(blocked bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.deaf = deaf
-	p.wake()
+	p.watchesBlocked = blocked
+	p.notifyChange()
 }
 
-func (p *Platform) enter(ctx context.Context) error {
+func (p *Platform) beginCall(ctx context.Context) error {
 	p.mu.Lock()
 	delay := p.delay
 	p.mu.Unlock()
@@ -96,7 +95,7 @@
 // Get implements store.Store.
 func (p *Platform) Get(ctx context.Context, key string) (store.Object, error) {
 	p.Reads.Add(1)
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginCall(ctx); err != nil {
 		return store.Object{}, err
 	}
 	p.mu.Lock()
@@ -111,7 +110,7 @@
 // List implements store.Store.
 func (p *Platform) List(ctx context.Context, prefix string) (store.Snapshot, error) {
 	p.Reads.Add(1)
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginCall(ctx); err != nil {
 		return store.Snapshot{}, err
 	}
 	p.mu.Lock()
@@ -122,7 +121,7 @@
 // Put implements store.Store.
 func (p *Platform) Put(ctx context.Context, key string, value []byte, version store.Revision) (store.Object, error) {
 	p.Writes.Add(1)
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginCall(ctx); err != nil {
 		return store.Object{}, err
 	}
 	p.mu.Lock()
@@ -131,15 +130,15 @@
 		return store.Object{}, store.ErrConflict
 	}
 	if known := p.objects[key]; version != 0 && bytes.Equal(known.Value, value) {
-		return known, p.answer() // what changes nothing makes no revision
+		return known, p.writeResult() // a write that changes nothing makes no revision
 	}
-	return p.store(store.Object{Key: key, Value: slices.Clone(value)})
+	return p.storeObject(store.Object{Key: key, Value: slices.Clone(value)})
 }
 
 // Delete implements store.Store.
 func (p *Platform) Delete(ctx context.Context, key string, version store.Revision) error {
 	p.Writes.Add(1)
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginCall(ctx); err != nil {
 		return err
 	}
 	p.mu.Lock()
@@ -147,35 +146,36 @@
 	if version == 0 || liveVersion(p.objects[key]) != version {
 		return store.ErrConflict
 	}
-	_, err := p.store(store.Object{Key: key, Deleted: true})
+	_, err := p.storeObject(store.Object{Key: key, Deleted: true})
 	return err
 }
 
-// store needs mu.
-func (p *Platform) store(obj store.Object) (store.Object, error) {
+// storeObject stores an object under a new revision. p.mu must be held.
+func (p *Platform) storeObject(obj store.Object) (store.Object, error) {
 	p.revision++
 	obj.Version = p.revision
 	p.objects[obj.Key] = obj
-	p.wake()
-	return obj, p.answer()
+	p.notifyChange()
+	return obj, p.writeResult()
 }
 
-// answer needs mu. It fails with store.ErrUnknown if the answer of a write is to be lost.
-func (p *Platform) answer() error {
-	if p.lose == 0 {
+// writeResult returns the error of a write that took effect: store.ErrUnknown if its answer is to be lost. p.mu
+// must be held.
+func (p *Platform) writeResult() error {
+	if p.answersToLose == 0 {
 		return nil
 	}
-	p.lose--
+	p.answersToLose--
 	return store.ErrUnknown
 }
 
-// wake needs mu.
-func (p *Platform) wake() {
+// notifyChange wakes pending watches. p.mu must be held.
+func (p *Platform) notifyChange() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// liveVersion is the version of an object, 0 when it does not exist.
+// liveVersion returns the version of an object, or 0 if it does not exist.
 func liveVersion(obj store.Object) store.Revision {
 	if obj.Deleted {
 		return 0
@@ -183,7 +183,8 @@
 	return obj.Version
 }
 
-// changes needs mu.
+// changes returns the objects under a prefix changed after a revision, including deleted ones if deleted is true.
+// p.mu must be held.
 func (p *Platform) changes(prefix string, after store.Revision, deleted bool) store.Snapshot {
 	snap := store.Snapshot{Revision: p.revision}
 	for key, obj := range p.objects {
@@ -200,22 +201,22 @@
 	return p.watch(ctx, prefix, revision, watchWait)
 }
 
-// watch waits for a change for so long.
+// watch waits for a change for at most the given time.
 func (p *Platform) watch(ctx context.Context, prefix string, revision store.Revision, wait time.Duration) (store.Snapshot, error) {
 	p.Watches.Add(1)
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		if err := p.enter(ctx); err != nil {
+		if err := p.beginCall(ctx); err != nil {
 			return store.Snapshot{}, err
 		}
 		p.mu.Lock()
-		snap, changed, deaf := p.changes(prefix, revision, true), p.changed, p.deaf
+		snap, changed, blocked := p.changes(prefix, revision, true), p.changed, p.watchesBlocked
 		p.mu.Unlock()
 		if revision.Era() != snap.Revision.Era() || revision > snap.Revision {
 			return snap, store.ErrCompacted
 		}
-		if deaf {
+		if blocked {
 			<-ctx.Done()
 			return store.Snapshot{}, store.ErrUnknown
 		}
--- a/internal/standin/platform_http.go
+++ b/internal/standin/platform_http.go
@@ -13,14 +13,14 @@
 	"github.com/martenport/martenport/store"
 )
 
-// objectMetadata is what the platform keeps of an object beside its spec.
+// objectMetadata is the metadata of an object, without its spec.
 type objectMetadata struct {
 	Name       string   `json:"name"`
 	Revision   int64    `json:"revision"`
 	Finalizers []string `json:"finalizers"`
 }
 
-// storedObject is an object on the wire.
+// storedObject is the wire format of an object.
 type storedObject struct {
 	Metadata objectMetadata  `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
@@ -42,9 +42,9 @@
 	StoreRevision int64         `json:"storeRevision"`
 }
 
-// Handler serves the platform over its HTTP protocol. POST /fault?down=true,
-// ?delay=1s and ?lose=3 set its faults; ?copy=true keeps a copy, and ?restore=true has it come
-// back from that, with what is under each "again" written again.
+// Handler returns the HTTP interface of the platform. POST /fault?down=true, ?delay=1s and ?lose=3 set its faults.
+// POST /fault?copy=true makes a backup, and ?restore=true restores it; objects under each "again" prefix are then
+// written again (see Restore).
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/objects/{kind}", p.serveKind)
@@ -68,7 +68,7 @@
 	p.respond(w, obj.Version, encodeObject(obj), err)
 }
 
-// serveKind lists a kind in one page, or waits for its changes.
+// serveKind lists the objects of a kind in one page, or waits for changes to them.
 func (p *Platform) serveKind(w http.ResponseWriter, r *http.Request) {
 	prefix := r.PathValue("kind") + "/"
 	if r.URL.Query().Has("watch") {
@@ -84,8 +84,8 @@
 }
 
 func (p *Platform) serveWatch(w http.ResponseWriter, r *http.Request, prefix string) {
-	wait := time.Duration(formInt(r, "waitMs")) * time.Millisecond
-	snap, err := p.watch(r.Context(), prefix, p.current(formInt(r, "watch")), wait)
+	wait := time.Duration(queryInt(r, "waitMs")) * time.Millisecond
+	snap, err := p.watch(r.Context(), prefix, p.revisionOf(queryInt(r, "watch")), wait)
 	page := objectEvents{Events: []objectEvent{}, StoreRevision: snap.Revision.Number()}
 	for _, obj := range snap.Objects {
 		page.Events = append(page.Events, objectEvent{Object: encodeObject(obj), Deleted: obj.Deleted})
@@ -108,7 +108,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	key, version := objectKey(r), p.current(obj.Metadata.Revision)
+	key, version := objectKey(r), p.revisionOf(obj.Metadata.Revision)
 	if create {
 		key, version = r.PathValue("kind")+"/"+obj.Metadata.Name, 0
 	}
@@ -117,7 +117,7 @@
 }
 
 func (p *Platform) serveDelete(w http.ResponseWriter, r *http.Request) {
-	err := p.Delete(r.Context(), objectKey(r), p.current(formInt(r, "revision")))
+	err := p.Delete(r.Context(), objectKey(r), p.revisionOf(queryInt(r, "revision")))
 	p.respond(w, 0, storedObject{Spec: json.RawMessage("null")}, err)
 }
 
@@ -130,30 +130,30 @@
 		p.SetDelay(delay)
 	}
 	if query.Has("lose") {
-		p.LoseAnswers(int(formInt(r, "lose")))
+		p.LoseAnswers(int(queryInt(r, "lose")))
 	}
 	if query.Get("copy") == "true" {
-		copied := p.Copy()
+		backup := p.Copy()
 		p.mu.Lock()
-		p.copied = copied
+		p.lastCopy = backup
 		p.mu.Unlock()
 	}
 	if query.Get("restore") == "true" {
 		p.mu.Lock()
-		copied := p.copied
+		backup := p.lastCopy
 		p.mu.Unlock()
-		p.Restore(copied, query["again"]...)
+		p.Restore(backup, query["again"]...)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func formInt(r *http.Request, name string) int64 {
+func queryInt(r *http.Request, name string) int64 {
 	n, _ := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	return n
 }
 
-// current returns the revision that a call means by a number; 0 is that of no object.
-func (p *Platform) current(number int64) store.Revision {
+// revisionOf returns the revision with the given number in the current era, or 0 (no object) for number 0.
+func (p *Platform) revisionOf(number int64) store.Revision {
 	if number == 0 {
 		return 0
 	}
@@ -162,17 +162,18 @@
 	return store.RevisionOf(p.revision.Era(), number)
 }
 
-// eraHeader has the platform's era, in all answers.
+// eraHeader is the header of all answers that carries the platform's era.
 const eraHeader = "Store-Era"
 
-// respond answers as of a revision, 0 if what is answered has none.
-func (p *Platform) respond(w http.ResponseWriter, as store.Revision, v any, err error) {
-	if as == 0 || err != nil {
+// respond writes an answer. Its era is that of the given revision, or the current one if the revision is 0 or the
+// call failed.
+func (p *Platform) respond(w http.ResponseWriter, revision store.Revision, v any, err error) {
+	if revision == 0 || err != nil {
 		p.mu.Lock()
-		as = p.revision
+		revision = p.revision
 		p.mu.Unlock()
 	}
-	w.Header().Set(eraHeader, strconv.FormatInt(as.Era(), 10))
+	w.Header().Set(eraHeader, strconv.FormatInt(revision.Era(), 10))
 	switch {
 	case err == nil:
 		writeJSON(w, v)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -15,40 +15,40 @@
 	"github.com/martenport/martenport/store"
 )
 
-// ServerModel is what a Server can load.
+// ServerModel is a model that a Server can load.
 type ServerModel struct {
 	MemoryMB, AdapterMB float64
 	Load                time.Duration
 }
 
-// serverSlots is how many requests a Server says that it runs at once.
+// serverSlots is the number of requests that a Server claims to run concurrently.
 const serverSlots = 8
 
-// ServerParams describe a Server.
+// ServerParams are the parameters of a Server.
 type ServerParams struct {
 	ID, Service, FailureDomain string
-	// Models is empty for a plain service.
+	// Models are the models that it can load; empty for a plain service.
 	Models       map[string]ServerModel
 	MemoryMB     float64
 	AdapterSlots int
-	// Loaded are the models that it holds from the start.
+	// Loaded are the models that are loaded at the start.
 	Loaded []string
-	// Announced is the address in its entry, if not its own.
+	// Announced is the address in its store entry, if it is not its own.
 	Announced string
-	// Poison begins the bodies of requests that end the server when it begins them; none if
+	// Poison is the prefix of the bodies of requests that crash the server when it begins to run them; none if
 	// empty.
 	Poison string
-	// EndsAfter is how long after the answer to such a request has broken off the server ends: it
-	// still listens, and serves what else runs there.
+	// EndsAfter is the time between the cut-off of the answer to such a request and the end of the server. Until
+	// then the server still listens and serves its other requests.
 	EndsAfter time.Duration
-	// Unsealed: what it answers to them before has no proof that it made it.
+	// Unsealed makes the server send the headers of the answer to such a request without its seal, so that nothing
+	// proves that the server made the answer.
 	Unsealed bool
-	// EventPause is the pause between events of a stream, Work what a plain
-	// request takes.
+	// EventPause is the pause between events of a stream, Work the duration of a plain request.
 	EventPause, Work time.Duration
 }
 
-// ReceivedOrder is an order as a Server got it.
+// ReceivedOrder is an order that a Server received.
 type ReceivedOrder struct {
 	Operation, Unit, Holder string
 	Fence                   int64
@@ -56,35 +56,34 @@
 	At                      time.Time
 }
 
-// Server is a stand-in backend server, model engine or plain service, that
-// speaks the users' platform's protocol: it announces itself in the store, takes
-// orders that expect its sequence, answers requests once loaded, and notes what
-// breaks a promise.
+// Server is a stand-in backend server, either a model engine or a plain service, that implements the protocol of
+// the users' platform: it announces itself in the store, accepts orders that expect its current sequence, answers
+// requests for loaded models, and records violations of promises.
 type Server struct {
 	params  ServerParams
 	address string
 	http    *http.Server
-	// born is the time of the start in milliseconds of the Unix epoch.
+	// born is the start time in Unix milliseconds.
 	born int64
 	// ended is closed when the server has ended.
 	ended chan struct{}
 	end   sync.Once
 
-	arrivals arrivals
-	words    words
-
-	mu         sync.Mutex
-	loaded     map[string]map[string]bool // adapters by model; guarded by mu
-	loading    string                     // guarded by mu
-	sequence   int64                      // guarded by mu
-	state      string                     // guarded by mu
-	endedBy    string                     // the body of the request that ended it; guarded by mu
-	entries    int64                      // written so far; guarded by mu
-	orders     []ReceivedOrder            // guarded by mu
-	runs       map[string]int             // by attempt id; guarded by mu
-	cuts       int                        // streams still to cut; guarded by mu
-	loseOrders int                        // answers to orders still to lose; guarded by mu
-	violations []string                   // guarded by mu
+	arrivals     arrivalLog
+	backpressure backpressureState
+
+	mu                 sync.Mutex
+	loaded             map[string]map[string]bool // adapters by model; guarded by mu
+	loading            string                     // guarded by mu
+	sequence           int64                      // guarded by mu
+	state              string                     // guarded by mu
+	endedBy            string                     // the body of the request that crashed it; guarded by mu
+	entrySequence      int64                      // number of entries written; guarded by mu
+	orders             []ReceivedOrder            // guarded by mu
+	runs               map[string]int             // by attempt id; guarded by mu
+	streamsToCut       int                        // number of streams still to cut off; guarded by mu
+	orderAnswersToLose int                        // number of answers to orders still to lose; guarded by mu
+	violations         []string                   // guarded by mu
 }
 
 // NewServer starts a Server on a free port of ip. Stop ends it.
@@ -92,7 +91,7 @@
 	return NewServerAt(net.JoinHostPort(ip, "0"), p)
 }
 
-// NewServerAt starts a Server at an address.
+// NewServerAt starts a Server at an address. Stop ends it.
 func NewServerAt(address string, p ServerParams) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -107,20 +106,19 @@
 	return s, nil
 }
 
-// Stop ends the server at once, as a crash does.
+// Stop ends the server immediately, as in a crash.
 func (s *Server) Stop() {
 	_ = s.http.Close()
 	s.end.Do(func() { close(s.ended) })
 }
 
-// Ended is closed when the server has ended.
+// Ended returns a channel that is closed when the server has ended.
 func (s *Server) Ended() <-chan struct{} { return s.ended }
 
-// Address returns where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.address }
 
-// Announce writes the server's entry until ctx ends, as often as a platform's
-// servers do.
+// Announce writes the server's entry to the store at the given interval until ctx is done.
 func (s *Server) Announce(ctx context.Context, p store.Store, every time.Duration) {
 	for {
 		key := platform.PrefixServers + s.params.ID
@@ -128,7 +126,7 @@
 		if obj, err := p.Get(ctx, key); err == nil {
 			version = obj.Version
 		}
-		_, _ = p.Put(ctx, key, s.entry(), version) // tried again with the next one
+		_, _ = p.Put(ctx, key, s.entry(), version) // retried at the next interval
 		select {
 		case <-time.After(every):
 		case <-ctx.Done():
@@ -140,7 +138,7 @@
 func (s *Server) entry() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entries++
+	s.entrySequence++
 	var onDisk []string
 	for name := range s.params.Models {
 		onDisk = append(onDisk, name)
@@ -152,13 +150,13 @@
 	}
 	value, _ := json.Marshal(map[string]any{
 		"service": s.params.Service, "address": address, "zone": s.params.FailureDomain, "version": "v1", "slots": serverSlots, "state": s.state,
-		"coldLeftMs": 0, "sequence": s.entries,
+		"coldLeftMs": 0, "sequence": s.entrySequence,
 		"born": s.born, "models": s.models(), "available": map[string]any{"onDisk": onDisk},
 	})
 	return value
 }
 
-// models needs mu.
+// models returns the loaded models with their adapters. s.mu must be held.
 func (s *Server) models() []map[string]any {
 	models := []map[string]any{}
 	for name, adapters := range s.loaded {
@@ -172,7 +170,7 @@
 	return models
 }
 
-// Drain has the server announce that it leaves.
+// Drain makes the server announce that it is leaving.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,33 +181,33 @@
 func (s *Server) CutStreams(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cuts = n
+	s.streamsToCut = n
 }
 
-// LoseOrderAnswers carries the next n orders out without an answer.
+// LoseOrderAnswers makes the next n orders take effect without an answer.
 func (s *Server) LoseOrderAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseOrders = n
+	s.orderAnswersToLose = n
 }
 
-// PathState serves a Server's State to tests.
+// PathState is the path that returns a Server's State.
 const PathState = "/standin/state"
 
-// State is what a Server has seen.
+// State is what a Server has recorded.
 type State struct {
 	Service    string
 	Orders     []ReceivedOrder
 	Runs       map[string]int
 	Violations []string
-	// EndedBy is the body of the request that has ended the server, "" if none has.
+	// EndedBy is the body of the request that crashed the server, or "".
 	EndedBy string
-	// Arrivals are the last attempts; Forgotten counts those before them.
+	// Arrivals are the latest attempts, and Forgotten is the number of older ones dropped.
 	Arrivals  []Arrival
 	Forgotten int
 }
 
-// State returns what the server has seen so far.
+// State returns what the server has recorded so far.
 func (s *Server) State() State {
 	arrived, forgotten := s.arrivals.all()
 	s.mu.Lock()
@@ -227,7 +225,7 @@
 	return slices.Clone(s.orders)
 }
 
-// Runs returns how often each attempt has run.
+// Runs returns the number of runs by attempt ID.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,8 +236,8 @@
 	return runs
 }
 
-// Violations returns what broke a promise, such as an order to load more than
-// there is room for.
+// Violations returns descriptions of broken promises, such as an order to load more than the server has capacity
+// for.
 func (s *Server) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,18 +245,18 @@
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	said := s.words.write(w.Header())
+	signals := s.backpressure.write(w.Header())
 	id := r.Header.Get("Martenport-Attempt-Id")
 	if id != "" {
-		s.arrivals.add(Arrival{ID: id, At: time.Now(), Workspace: r.Header.Get("Martenport-Tenant"), KeyTold: r.Header.Get(KeyHeader) != "", Said: said})
+		s.arrivals.record(Arrival{ID: id, At: time.Now(), Workspace: r.Header.Get("Martenport-Tenant"), KeyTold: r.Header.Get(KeyHeader) != "", Said: signals})
 	}
 	if expected := r.Header.Get("Martenport-Expect-Instance"); expected != "" && expected != s.params.ID {
 		w.Header().Set("Martenport-Instance-Id", s.params.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if id != "" && said.Rest != "" {
-		said.turnAway(w, id)
+	if id != "" && signals.Rest != "" {
+		signals.refuseRequest(w, id)
 		return
 	}
 	switch r.URL.Path {
@@ -270,8 +268,8 @@
 		writeJSON(w, s.State())
 	case PathFault:
 		s.serveFault(w, r)
-	case PathSay:
-		s.serveSay(w, r)
+	case PathBackpressure:
+		s.serveBackpressure(w, r)
 	default:
 		s.serveRequest(w, r)
 	}
@@ -300,10 +298,10 @@
 		return
 	}
 	s.mu.Lock()
-	status := s.take(o)
-	lose := s.loseOrders > 0
+	status := s.acceptOrder(o)
+	lose := s.orderAnswersToLose > 0
 	if lose {
-		s.loseOrders--
+		s.orderAnswersToLose--
 	}
 	s.mu.Unlock()
 	if lose {
@@ -312,8 +310,9 @@
 	w.WriteHeader(status)
 }
 
-// take needs mu. It decides on an order and begins it.
-func (s *Server) take(o orderBody) int {
+// acceptOrder decides on an order, begins to carry it out if it is accepted, and returns the HTTP status of the
+// answer. s.mu must be held.
+func (s *Server) acceptOrder(o orderBody) int {
 	unit := strings.TrimSuffix(o.Model+"/"+o.Adapter, "/")
 	received := ReceivedOrder{Operation: o.Operation, Unit: unit, Holder: o.Holder, Fence: o.Fence, At: time.Now()}
 	defer func() { s.orders = append(s.orders, received) }()
@@ -345,7 +344,7 @@
 		s.loading = o.Model
 		time.AfterFunc(s.params.Models[o.Model].Load, func() { s.finishLoad(o.Model) })
 	}
-	s.checkRoom(unit)
+	s.checkCapacity(unit)
 	return http.StatusAccepted
 }
 
@@ -356,13 +355,14 @@
 	s.loading = ""
 }
 
-// checkRoom needs mu.
-func (s *Server) checkRoom(unit string) {
+// checkCapacity records a violation if the loaded units exceed the server's memory or adapter slots. s.mu must be
+// held.
+func (s *Server) checkCapacity(unit string) {
 	memory, adapters := s.params.Models[s.loading].MemoryMB, 0
-	for name, own := range s.loaded {
+	for name, loadedAdapters := range s.loaded {
 		m := s.params.Models[name]
-		memory += m.MemoryMB + float64(len(own))*m.AdapterMB
-		adapters += len(own)
+		memory += m.MemoryMB + float64(len(loadedAdapters))*m.AdapterMB
+		adapters += len(loadedAdapters)
 	}
 	if memory > s.params.MemoryMB || adapters > s.params.AdapterSlots {
 		s.violations = append(s.violations, fmt.Sprintf("%s: %.0f MB and %d adapters are more than there is room for", unit, memory, adapters))
--- a/internal/standin/server_requests.go
+++ b/internal/standin/server_requests.go
@@ -22,9 +22,9 @@
 	if !missing && id != "" {
 		s.runs[id]++
 	}
-	cut := s.cuts > 0 && model != ""
+	cut := s.streamsToCut > 0 && model != ""
 	if cut && !missing {
-		s.cuts--
+		s.streamsToCut--
 	}
 	s.mu.Unlock()
 	switch {
@@ -38,9 +38,9 @@
 	}
 	w.Header().Set("Martenport-Server-Seal", "seal-"+s.params.ID)
 	if s.params.Poison != "" && strings.HasPrefix(string(body), s.params.Poison) {
-		s.endUnder(w, string(body))
+		s.crash(w, string(body))
 	}
-	if s.arrivals.fails() {
+	if s.arrivals.isFailing() {
 		time.Sleep(s.params.Work)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -53,13 +53,13 @@
 	_, _ = fmt.Fprintf(w, "%s %s %s", r.Method, r.RequestURI, body)
 }
 
-// endUnder ends the server for the request with the given body.
-func (s *Server) endUnder(w http.ResponseWriter, body string) {
+// crash ends the server because of a request with the given body.
+func (s *Server) crash(w http.ResponseWriter, body string) {
 	if s.params.Unsealed {
 		w.Header().Del("Martenport-Server-Seal")
 		_ = http.NewResponseController(w).Flush()
 	}
-	time.Sleep(poisonTime)
+	time.Sleep(poisonDelay)
 	s.mu.Lock()
 	if s.endedBy == "" {
 		s.endedBy = body
@@ -69,10 +69,10 @@
 	panic(http.ErrAbortHandler)
 }
 
-// poisonTime is how long a server runs the request that ends it.
-const poisonTime = 20 * time.Millisecond
+// poisonDelay is how long a server runs a poison request before it crashes.
+const poisonDelay = 20 * time.Millisecond
 
-// StreamEvents is how many events each stream has.
+// StreamEvents is the number of events in each stream.
 const StreamEvents = 10
 
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, cut bool) {
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -11,7 +11,7 @@
 	"github.com/martenport/martenport/internal/pause"
 )
 
-// transferStep is how often a transfer's share of the store is worked out.
+// transferStep is the interval at which a transfer's share of the bandwidth is recomputed.
 const transferStep = 50 * time.Millisecond
 
 // WeightStore is the rate-limited store of checkpoints that engines share.
@@ -19,44 +19,44 @@
 	starts  *rate.Limiter
 	streams int
 
-	mu     sync.Mutex
-	active int     // guarded by mu
-	slow   float64 // guarded by mu; 1 is full speed
+	mu            sync.Mutex
+	active        int     // guarded by mu
+	speedFraction float64 // fraction of full speed; guarded by mu
 }
 
-// NewWeightStore returns a store that starts so many loads a second and runs
-// so many at full speed; more of them share that speed.
+// NewWeightStore returns a store that starts at most startsPerSecond transfers per second and runs up to streams
+// of them at full speed. More transfers share the bandwidth of that many.
 func NewWeightStore(startsPerSecond float64, streams int) *WeightStore {
-	return &WeightStore{starts: rate.NewLimiter(rate.Limit(startsPerSecond), 1), streams: streams, slow: 1}
+	return &WeightStore{starts: rate.NewLimiter(rate.Limit(startsPerSecond), 1), streams: streams, speedFraction: 1}
 }
 
 // SetSpeed slows the store down to a fraction of its full speed.
 func (s *WeightStore) SetSpeed(fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = fraction
+	s.speedFraction = fraction
 }
 
 func (s *WeightStore) share() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.slow * min(1, float64(s.streams)/float64(max(s.active, 1)))
+	return s.speedFraction * min(1, float64(s.streams)/float64(max(s.active, 1)))
 }
 
-func (s *WeightStore) count(delta int) {
+func (s *WeightStore) addActive(delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active += delta
 }
 
-// Fetch takes as long as reading bytes from the store at full speed
-// bytesPerSecond takes beside the other transfers.
+// Fetch takes as long as reading the given number of bytes from the store beside the other transfers, at a full
+// speed of bytesPerSecond.
 func (s *WeightStore) Fetch(ctx context.Context, bytes, bytesPerSecond float64) error {
 	if err := s.starts.Wait(ctx); err != nil {
 		return err
 	}
-	s.count(1)
-	defer s.count(-1)
+	s.addActive(1)
+	defer s.addActive(-1)
 	for bytes > 0 {
 		speed := bytesPerSecond * s.share()
 		step := min(transferStep, time.Duration(bytes/speed*float64(time.Second))+time.Nanosecond)
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// Speeds gives bytes a second for each checkpoint tier.
+// Speeds holds the load speed in bytes per second for each checkpoint tier.
 type Speeds map[backend.Tier]float64
 
-// DefaultSpeeds are those of a server with fast local disks.
+// DefaultSpeeds returns the speeds of a server with fast local disks.
 func DefaultSpeeds() Speeds {
 	return Speeds{backend.TierMemory: 12e9, backend.TierDisk: 3e9, backend.TierRemote: 1e9}
 }
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -61,7 +61,7 @@
 func (r *run) setBackpressure(server int, w standin.Words) {
 	query := url.Values{"limit": {w.Limit}, "rest": {w.Rest}, "leaving": {strconv.FormatBool(w.Leaving)}}
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Post("http://"+r.serverAddresses[server]+standin.PathSay+"?"+query.Encode(), "", nil)
+	resp, err := client.Post("http://"+r.serverAddresses[server]+standin.PathBackpressure+"?"+query.Encode(), "", nil)
 	if err == nil {
 		_ = resp.Body.Close()
 	}
