--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -7,7 +7,7 @@
 	martenportv1 "github.com/martenport/martenport/api/martenport/v1"
 )
 
-// failureIn returns the Failure that an error of the interface carries.
+// failureIn returns the Failure in the details of an API error, or nil.
 func failureIn(err error) *martenportv1.Failure {
 	var protocol *connect.Error
 	if !errors.As(err, &protocol) {
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -11,9 +11,8 @@
 
 const captionModel = `{name: caption, version: "1", memory: 14GiB, maxReplicas: 1, deadline: 60s}`
 
-// TestOrdererKilledDuringLoad: the instance that orders the engine is killed
-// in the middle of a load. Another takes over, adopts the load, and the
-// request is answered; nothing is loaded twice.
+// TestOrdererKilledDuringLoad: the orderer of an engine is killed during a load. Another instance must take over
+// and adopt the load, rather than start it again, and the request must be answered.
 func TestOrdererKilledDuringLoad(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		t.Run(map[bool]string{true: "fencing", false: "ignoring"}[fencing], func(t *testing.T) {
@@ -21,7 +20,7 @@
 			f.startInstance("i-a2", "a")
 			f.startInstance("i-b2", "b")
 			f.startInstance("i-c2", "c")
-			f.accept(f.instances["i-a"], f.declaration(fencing, captionModel))
+			f.applyDeclaration(f.instances["i-a"], f.declaration(fencing, captionModel))
 			f.awaitOrdered("i-a", "i-b", "i-c", "i-a2", "i-b2", "i-c2")
 
 			victim := make(chan string, 1)
@@ -29,7 +28,7 @@
 			var wg sync.WaitGroup
 			for _, name := range []string{"i-a", "i-b", "i-c"} {
 				wg.Go(func() {
-					_, _ = f.instances[name].generate(limit, &martenportv1.GenerateRequest{Model: "caption", Prompt: name, MaxTokens: 2, Idempotent: true})
+					_, _ = f.instances[name].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: name, MaxTokens: 2, Idempotent: true})
 				})
 			}
 			killed := <-victim
@@ -38,10 +37,10 @@
 			if killed == survivor {
 				survivor = "i-b"
 			}
-			if _, err := f.instances[survivor].generate(limit, &martenportv1.GenerateRequest{Model: "caption", Prompt: "after", MaxTokens: 2, Idempotent: true}); err != nil {
+			if _, err := f.instances[survivor].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: "after", MaxTokens: 2, Idempotent: true}); err != nil {
 				t.Errorf("request after the kill of %s: %v", killed, err)
 			}
-			if n := f.loads(); n != 1 {
+			if n := f.loadCount(); n != 1 {
 				t.Errorf("%d loads, want 1", n)
 			}
 			wg.Wait()
@@ -49,7 +48,7 @@
 	}
 }
 
-// awaitLoadingOrderer waits until an engine loads and returns its orderer.
+// awaitLoadingOrderer waits until an engine is loading and returns its orderer.
 func (f *fleet) awaitLoadingOrderer() string {
 	found := ""
 	await(f.t, "an engine loads", func() bool {
@@ -66,20 +65,20 @@
 	return found
 }
 
-// TestGracefulShutdown: an instance told to end finishes a running answer,
-// refuses new work, hands its engine over and exits.
+// TestGracefulShutdown: on SIGTERM an instance must finish a running answer, hand its engine over to another
+// instance and exit.
 func TestGracefulShutdown(t *testing.T) {
 	f := newFleet(t, true, "100e9")
 	f.startInstance("i-a2", "a")
-	f.accept(f.instances["i-a"], f.declaration(true, captionModel))
+	f.applyDeclaration(f.instances["i-a"], f.declaration(true, captionModel))
 	f.awaitOrdered("i-a", "i-b", "i-c", "i-a2")
 	leaving := f.instances["i-a"]
 	done := make(chan error, 1)
 	go func() {
-		_, err := leaving.generate(limit, &martenportv1.GenerateRequest{Model: "caption", Prompt: "long", MaxTokens: 1500})
+		_, err := leaving.generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: "long", MaxTokens: 1500})
 		done <- err
 	}()
-	await(t, "the request runs", func() bool { return f.running() > 0 })
+	await(t, "the request runs", func() bool { return f.requestsBegun() > 0 })
 	leaving.signal(syscall.SIGTERM)
 	if err := <-done; err != nil {
 		t.Errorf("the running request was cut off: %v", err)
@@ -89,7 +88,7 @@
 		if err != nil {
 			t.Errorf("exit: %v", err)
 		}
-	case <-time.After(limit):
+	case <-time.After(waitTimeout):
 		t.Fatal("the instance did not exit")
 	}
 	await(t, "another instance orders the engine", func() bool {
@@ -102,7 +101,7 @@
 	})
 }
 
-func (f *fleet) running() int {
+func (f *fleet) requestsBegun() int {
 	n := 0
 	for _, d := range domains {
 		n += f.tally(d).Requests
@@ -110,25 +109,24 @@
 	return n
 }
 
-// TestPlatformStopped: with the platform frozen, resident models are served, a
-// model whose slot is held is loaded again, and one without is refused with a
-// true NotRun.
+// TestPlatformStopped: while the platform is frozen, resident models are served and a model whose slot is held is
+// loaded again. A model without a slot cannot be loaded, and must be refused with NotRun.
 func TestPlatformStopped(t *testing.T) {
 	f := newFleet(t, true, "100e9")
-	f.tailWeight = 0 // idle models go at once
-	f.accept(f.instances["i-a"], f.declaration(true, captionModel,
+	f.tailWeight = 0 // idle models are unloaded immediately
+	f.applyDeclaration(f.instances["i-a"], f.declaration(true, captionModel,
 		`{name: album, version: "1", memory: 14GiB, maxReplicas: 1, deadline: 60s}`))
 	f.awaitOrdered("i-a", "i-b", "i-c")
 	warm := func() error {
-		_, err := f.instances["i-b"].generate(limit, &martenportv1.GenerateRequest{Model: "caption", Prompt: "x", MaxTokens: 1, Idempotent: true})
+		_, err := f.instances["i-b"].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: "x", MaxTokens: 1, Idempotent: true})
 		return err
 	}
 	if err := warm(); err != nil {
 		t.Fatal(err)
 	}
-	f.platformP.signal(syscall.SIGSTOP)
+	f.platformProcess.signal(syscall.SIGSTOP)
 	if err := warm(); err != nil {
-		t.Errorf("resident model with the platform stopped: %v", err)
+		t.Errorf("request for a resident model while the platform is stopped: %v", err)
 	}
 	await(t, "the idle model is unloaded", func() bool {
 		for _, e := range f.instances["i-b"].status().GetEngines() {
@@ -139,22 +137,21 @@
 		return true
 	})
 	if err := warm(); err != nil {
-		t.Errorf("held slot with the platform stopped: %v", err)
+		t.Errorf("request for a model with a held slot while the platform is stopped: %v", err)
 	}
 	_, err := f.instances["i-b"].generate(30*time.Second, &martenportv1.GenerateRequest{Model: "album", Prompt: "x", MaxTokens: 1})
 	if f := failureIn(err); f == nil || f.Verdict != martenportv1.Verdict_VERDICT_NOT_RUN {
-		t.Errorf("model without a held slot: %v", err)
+		t.Errorf("request for a model without a held slot: got %v, want NotRun", err)
 	}
-	f.platformP.signal(syscall.SIGCONT)
+	f.platformProcess.signal(syscall.SIGCONT)
 	await(t, "the other model is served again", func() bool {
-		_, err := f.instances["i-b"].generate(limit, &martenportv1.GenerateRequest{Model: "album", Prompt: "x", MaxTokens: 1})
+		_, err := f.instances["i-b"].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "album", Prompt: "x", MaxTokens: 1})
 		return err == nil
 	})
 }
 
-// TestOrdererFrozenAcrossTakeover: the instance that orders a loading engine is
-// frozen until another has taken over, and then goes on. It finds itself
-// superseded; nothing is loaded twice.
+// TestOrdererFrozenAcrossTakeover: the orderer of a loading engine is frozen until another instance has taken
+// over. When it resumes, it must learn that it is superseded, and nothing may be loaded twice.
 func TestOrdererFrozenAcrossTakeover(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		t.Run(map[bool]string{true: "fencing", false: "ignoring"}[fencing], func(t *testing.T) {
@@ -162,10 +159,10 @@
 			for _, d := range domains {
 				f.startInstance("i-"+d+"2", d)
 			}
-			f.accept(f.instances["i-a"], f.declaration(fencing, captionModel))
+			f.applyDeclaration(f.instances["i-a"], f.declaration(fencing, captionModel))
 			f.awaitOrdered("i-a", "i-b", "i-c", "i-a2", "i-b2", "i-c2")
 			go func() {
-				_, _ = f.instances["i-a"].generate(limit, &martenportv1.GenerateRequest{Model: "caption", Prompt: "first", MaxTokens: 2, Idempotent: true})
+				_, _ = f.instances["i-a"].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: "first", MaxTokens: 2, Idempotent: true})
 			}()
 			frozen := f.instances[f.awaitLoadingOrderer()]
 			frozen.signal(syscall.SIGSTOP)
@@ -189,31 +186,31 @@
 				}
 				return false
 			})
-			if _, err := frozen.generate(limit, &martenportv1.GenerateRequest{Model: "caption", Prompt: "after", MaxTokens: 2, Idempotent: true}); err != nil {
+			if _, err := frozen.generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: "after", MaxTokens: 2, Idempotent: true}); err != nil {
 				t.Errorf("request at the instance that was frozen: %v", err)
 			}
-			if n := f.loads(); n != 1 {
+			if n := f.loadCount(); n != 1 {
 				t.Errorf("%d loads, want 1", n)
 			}
 		})
 	}
 }
 
-func (f *fleet) otherThan(not *instance) *instance {
+func (f *fleet) otherThan(excluded *instance) *instance {
 	for _, i := range f.instances {
-		if i != not {
+		if i != excluded {
 			return i
 		}
 	}
 	return nil
 }
 
-// TestKeyAtSeveralInstances: the balancer sends one notice to three instances
-// at once. It runs once, and all get its answer; when the instance that ran it
-// is gone, a repeat is told that it may have run, and does not run.
+// TestKeyAtSeveralInstances: the load balancer sends one notice to three instances at once. It must run once, and
+// all must get its answer. After the instances are replaced, a repeat must not run, and must be answered with
+// MayHaveRun.
 func TestKeyAtSeveralInstances(t *testing.T) {
 	f := newFleet(t, true, "100e9")
-	f.accept(f.instances["i-a"], f.declaration(true, captionModel))
+	f.applyDeclaration(f.instances["i-a"], f.declaration(true, captionModel))
 	await(t, "all have the declaration", func() bool {
 		for _, i := range f.instances {
 			if i.status().GetGeneration() != 1 {
@@ -237,11 +234,11 @@
 	first := <-answers
 	for range 2 {
 		if other := <-answers; other != first || first == "" {
-			t.Errorf("answers %q and %q", first, other)
+			t.Errorf("got answers %q and %q, want equal ones that are not empty", first, other)
 		}
 	}
 	if n := f.serviceRuns("notice 17"); n != 1 {
-		t.Errorf("the notice ran %d times", n)
+		t.Errorf("the notice ran %d times, want 1", n)
 	}
 	for _, i := range f.instances {
 		i.signal(syscall.SIGKILL)
@@ -251,9 +248,9 @@
 	await(t, "the new instance has the declaration", func() bool { return fresh.status().GetGeneration() == 1 })
 	_, err := fresh.call("confirm", "notice 17", "key 17")
 	if failure := failureIn(err); failure == nil || failure.Verdict != martenportv1.Verdict_VERDICT_MAY_HAVE_RUN {
-		t.Errorf("repeat after all instances were replaced: %v", err)
+		t.Errorf("repeat after all instances were replaced: got %v, want MayHaveRun", err)
 	}
 	if n := f.serviceRuns("notice 17"); n != 1 {
-		t.Errorf("the notice ran %d times", n)
+		t.Errorf("the notice ran %d times, want 1", n)
 	}
 }
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -7,27 +7,26 @@
 	martenportv1 "github.com/martenport/martenport/api/martenport/v1"
 )
 
-// TestWholePath: a request at one of three instances finds its model cold,
-// makes one load order, and is answered; operators declared the model through
-// plan and confirm.
-func TestWholePath(t *testing.T) {
+// TestColdRequestEndToEnd: operators declare a model through plan and confirm. A request for the model, which is
+// not loaded, must cause a single load order and be answered.
+func TestColdRequestEndToEnd(t *testing.T) {
 	f := newFleet(t, true, "100e9")
-	f.accept(f.instances["i-a"], f.declaration(true, `{name: caption, version: "1", memory: 14GiB, maxReplicas: 1, deadline: 60s}`))
+	f.applyDeclaration(f.instances["i-a"], f.declaration(true, `{name: caption, version: "1", memory: 14GiB, maxReplicas: 1, deadline: 60s}`))
 	f.awaitOrdered("i-a", "i-b", "i-c")
-	answer, err := f.instances["i-b"].generate(limit, &martenportv1.GenerateRequest{Model: "caption", Prompt: "hello", MaxTokens: 3})
+	answer, err := f.instances["i-b"].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: "hello", MaxTokens: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if answer.Text != "hello:0 hello:1 hello:2 " || !answer.Cold {
 		t.Errorf("answer %q cold=%t", answer.Text, answer.Cold)
 	}
-	if n := f.loads(); n != 1 {
+	if n := f.loadCount(); n != 1 {
 		t.Errorf("%d load orders, want 1", n)
 	}
 	events := string(f.martenctl(f.instances["i-c"], "timeline", "--model", "caption"))
 	for _, kind := range []string{"request_accept", "wake", "load_order", "loaded", "request_answer"} {
 		if !strings.Contains(events, "event="+kind) {
-			t.Errorf("the time line lacks %s:\n%s", kind, events)
+			t.Errorf("the timeline lacks event %s:\n%s", kind, events)
 		}
 	}
 }
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -1,6 +1,5 @@
-// Package e2e runs martenport as separate processes over loopback sockets and
-// kills, freezes and cuts them. Waiting is always for an event, with a limit
-// far above what it takes, so that a slow machine changes no verdict.
+// Package e2e runs martenport as separate processes over loopback sockets, and kills and freezes them. Tests wait
+// for events, with a timeout far above the usual duration, so that a slow machine does not change the result.
 package e2e
 
 import (
@@ -26,10 +25,10 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// limit is the longest wait for anything before a test fails.
-const limit = 60 * time.Second
+// waitTimeout is the maximum wait for any event before a test fails.
+const waitTimeout = 60 * time.Second
 
-// binaries is where TestMain builds the programs.
+// binaries is the directory in which TestMain builds the programs.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -47,16 +46,16 @@
 	os.Exit(code)
 }
 
-// process is one running program.
+// process is a running program.
 type process struct {
 	t    *testing.T
 	cmd  *exec.Cmd
 	exit chan error
 }
 
-// start runs a program until the test ends and returns its first output line
-// that holds want.
-func start(t *testing.T, want, program string, args ...string) (*process, string) {
+// startProcess starts a program that runs until the test ends, and returns the first line of its output that
+// contains want.
+func startProcess(t *testing.T, want, program string, args ...string) (*process, string) {
 	t.Helper()
 	cmd := exec.Command(filepath.Join(binaries, program), args...)
 	r, w := io.Pipe()
@@ -87,8 +86,8 @@
 	select {
 	case line := <-lines:
 		return p, line
-	case <-time.After(limit):
-		t.Fatalf("%s: no line with %q", program, want)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s: no output line with %q", program, want)
 		return nil, ""
 	}
 }
@@ -100,42 +99,42 @@
 	}
 }
 
-// fleet is one engine and instance a failure domain, the platform and a plain
-// service, all processes.
+// fleet consists of the platform, a plain service, and one engine and one instance per failure domain, each in a
+// process of its own. Tests may add instances.
 type fleet struct {
-	t         *testing.T
-	platform  string
-	platformP *process
-	engines   map[string]string
-	engineP   map[string]*process
-	services  string
-	instances map[string]*instance
-	// tailWeight of the declaration.
+	t               *testing.T
+	platformAddress string
+	platformProcess *process
+	engineAddresses map[string]string
+	engineProcesses map[string]*process
+	serviceAddress  string
+	instances       map[string]*instance
+	// tailWeight is the tailWeight of the declaration.
 	tailWeight float64
 }
 
 type instance struct {
 	*process
-	name, callers, operators, peers string
+	name, clientAddress, operatorAddress, peerAddress string
 }
 
 var domains = []string{"a", "b", "c"}
 
-// newFleet starts a fleet whose engines load at speed bytes a second.
+// newFleet starts a fleet whose engines load at speed bytes per second.
 func newFleet(t *testing.T, fencing bool, speed string) *fleet {
 	t.Helper()
-	f := &fleet{t: t, engines: map[string]string{}, engineP: map[string]*process{}, instances: map[string]*instance{}, tailWeight: 0.5}
-	p, line := start(t, "address=", "martendev", "platform", "--listen", "127.0.0.1:0")
-	f.platformP, f.platform = p, addressIn(line)
-	_, line = start(t, "address=", "martendev", "service", "--listen", "127.0.0.1:0")
-	f.services = addressIn(line)
+	f := &fleet{t: t, engineAddresses: map[string]string{}, engineProcesses: map[string]*process{}, instances: map[string]*instance{}, tailWeight: 0.5}
+	p, line := startProcess(t, "address=", "martendev", "platform", "--listen", "127.0.0.1:0")
+	f.platformProcess, f.platformAddress = p, addressIn(line)
+	_, line = startProcess(t, "address=", "martendev", "service", "--listen", "127.0.0.1:0")
+	f.serviceAddress = addressIn(line)
 	for _, d := range domains {
 		args := []string{"engine", "--listen", "127.0.0.1:0", "--memory", "80GiB", "--step-time", "1ms", "--load-speed", speed}
 		if fencing {
 			args = append(args, "--fencing")
 		}
-		f.engineP[d], line = start(t, "address=", "martendev", args...)
-		f.engines[d] = addressIn(line)
+		f.engineProcesses[d], line = startProcess(t, "address=", "martendev", args...)
+		f.engineAddresses[d] = addressIn(line)
 	}
 	for _, d := range domains {
 		f.startInstance("i-"+d, d)
@@ -148,8 +147,8 @@
 	return strings.Fields(rest)[0]
 }
 
-// freeAddress returns a loopback address that nobody listens on, and that is left alone
-// until a process of the test does.
+// freeAddress returns a loopback address on which nothing listens, and which nothing but the test's processes
+// uses.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", net.JoinHostPort(standin.OwnIP(), "0"))
@@ -162,31 +161,31 @@
 
 func (f *fleet) startInstance(name, domain string) *instance {
 	f.t.Helper()
-	i := &instance{name: name, callers: freeAddress(f.t), operators: freeAddress(f.t), peers: freeAddress(f.t)}
-	i.process, _ = start(f.t, "event=start", "martenportd",
-		"--name", name, "--failure-domain", domain, "--listen", i.callers, "--operator-listen", i.operators,
-		"--peer-listen", i.peers, "--platform-url", "http://"+f.platform, "--settle", "500ms", "--tick", "200ms")
+	i := &instance{name: name, clientAddress: freeAddress(f.t), operatorAddress: freeAddress(f.t), peerAddress: freeAddress(f.t)}
+	i.process, _ = startProcess(f.t, "event=start", "martenportd",
+		"--name", name, "--failure-domain", domain, "--listen", i.clientAddress, "--operator-listen", i.operatorAddress,
+		"--peer-listen", i.peerAddress, "--platform-url", "http://"+f.platformAddress, "--settle", "500ms", "--tick", "200ms")
 	f.instances[name] = i
 	return i
 }
 
-// declaration returns YAML with the fleet's engines and the given models.
+// declaration returns YAML with the fleet's engines and service and the given models.
 func (f *fleet) declaration(fencing bool, models ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "failureDomains: [a, b, c]\ntailWeight: %v\nweightStore: {startsPerSecond: 3, streams: 4}\nengines:\n", f.tailWeight)
 	for _, d := range domains {
-		fmt.Fprintf(&b, "  - {name: e-%s, failureDomain: %s, address: %q, memory: 80GiB, fencing: %t}\n", d, d, f.engines[d], fencing)
+		fmt.Fprintf(&b, "  - {name: e-%s, failureDomain: %s, address: %q, memory: 80GiB, fencing: %t}\n", d, d, f.engineAddresses[d], fencing)
 	}
 	fmt.Fprintf(&b, "services:\n  - name: notices\n    deadline: 10s\n    methods: [{name: confirm, idempotent: false}, {name: lookup, idempotent: true}]\n")
-	fmt.Fprintf(&b, "    instances: [{name: s-a, failureDomain: a, address: %q}]\nmodels:\n", f.services)
+	fmt.Fprintf(&b, "    instances: [{name: s-a, failureDomain: a, address: %q}]\nmodels:\n", f.serviceAddress)
 	for _, m := range models {
 		fmt.Fprintf(&b, "  - %s\n", m)
 	}
 	return b.String()
 }
 
-// accept has martenctl plan and confirm a declaration at an instance.
-func (f *fleet) accept(i *instance, yaml string) {
+// applyDeclaration plans and confirms a declaration at an instance with martenctl.
+func (f *fleet) applyDeclaration(i *instance, yaml string) {
 	f.t.Helper()
 	file := filepath.Join(f.t.TempDir(), "declaration.yaml")
 	if err := os.WriteFile(file, []byte(yaml), 0o600); err != nil {
@@ -205,7 +204,7 @@
 
 func (f *fleet) martenctl(i *instance, args ...string) []byte {
 	f.t.Helper()
-	args = append([]string{"--server", "http://" + i.operators}, args...)
+	args = append([]string{"--server", "http://" + i.operatorAddress}, args...)
 	out, err := exec.Command(filepath.Join(binaries, "martenctl"), args...).CombinedOutput()
 	if err != nil {
 		f.t.Fatalf("martenctl %v: %v: %s", args, err, out)
@@ -213,9 +212,9 @@
 	return out
 }
 
-// status asks an instance; nil when it does not answer.
+// status returns the status of an instance, or nil if it does not answer.
 func (i *instance) status() *martenportv1.GetStatusResponse {
-	client := martenportv1connect.NewOperatorServiceClient(&http.Client{Timeout: 2 * time.Second}, "http://"+i.operators)
+	client := martenportv1connect.NewOperatorServiceClient(&http.Client{Timeout: 2 * time.Second}, "http://"+i.operatorAddress)
 	s, err := client.GetStatus(context.Background(), connect.NewRequest(&martenportv1.GetStatusRequest{}))
 	if err != nil {
 		return nil
@@ -223,20 +222,19 @@
 	return s.Msg
 }
 
-// await waits until the condition holds.
+// await waits until the condition holds, and fails the test after waitTimeout.
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(limit)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not reached: %s", what)
+			t.Fatalf("condition not reached in time: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// awaitOrdered waits until every living instance knows a living orderer for
-// every engine.
+// awaitOrdered waits until each of the named instances knows an orderer for every engine.
 func (f *fleet) awaitOrdered(names ...string) {
 	f.t.Helper()
 	for _, name := range names {
@@ -248,13 +246,13 @@
 					n++
 				}
 			}
-			return n == len(f.engines)
+			return n == len(f.engineAddresses)
 		})
 	}
 }
 
 func (i *instance) generate(timeout time.Duration, req *martenportv1.GenerateRequest) (*martenportv1.GenerateResponse, error) {
-	client := martenportv1connect.NewInferenceServiceClient(http.DefaultClient, "http://"+i.callers)
+	client := martenportv1connect.NewInferenceServiceClient(http.DefaultClient, "http://"+i.clientAddress)
 	req.TimeoutMs = timeout.Milliseconds()
 	answer, err := client.Generate(context.Background(), connect.NewRequest(req))
 	if err != nil {
@@ -263,11 +261,11 @@
 	return answer.Msg, nil
 }
 
-// tally asks a stand-in engine for its counts.
+// tally returns the counts of a stand-in engine.
 func (f *fleet) tally(domain string) standin.Tally {
 	f.t.Helper()
 	var out standin.Tally
-	resp, err := http.Get("http://" + f.engines[domain] + "/tally")
+	resp, err := http.Get("http://" + f.engineAddresses[domain] + "/tally")
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -278,7 +276,7 @@
 	return out
 }
 
-func (f *fleet) loads() int {
+func (f *fleet) loadCount() int {
 	n := 0
 	for _, d := range domains {
 		n += f.tally(d).Loads
@@ -286,9 +284,9 @@
 	return n
 }
 
-// call sends one call to the stand-in plain service.
+// call sends a call to the stand-in plain service through the instance.
 func (i *instance) call(method, body, key string) (string, error) {
-	client := martenportv1connect.NewInferenceServiceClient(http.DefaultClient, "http://"+i.callers)
+	client := martenportv1connect.NewInferenceServiceClient(http.DefaultClient, "http://"+i.clientAddress)
 	answer, err := client.Call(context.Background(), connect.NewRequest(&martenportv1.CallRequest{
 		Service: "notices", Method: method, Body: []byte(body), Key: key, Caller: "carrier",
 	}))
@@ -298,10 +296,10 @@
 	return string(answer.Msg.Body), nil
 }
 
-// serviceRuns asks the stand-in plain service how often it ran a body.
+// serviceRuns returns how often the stand-in plain service ran the given body.
 func (f *fleet) serviceRuns(body string) int {
 	f.t.Helper()
-	resp, err := http.Get("http://" + f.services + "/runs")
+	resp, err := http.Get("http://" + f.serviceAddress + "/runs")
 	if err != nil {
 		f.t.Fatal(err)
 	}
