--- a/store/keys.go
+++ b/store/keys.go
@@ -1,17 +1,17 @@
 package store
 
-// Prefixes of the objects that martenport keeps, one kind each.
+// Keys and key prefixes of the objects that martenport stores, one kind each.
 const (
 	// KeyConfig is the single object with the accepted declaration.
 	KeyConfig = "declarations/current"
-	// PrefixSlots holds one object a model: its replica slots.
+	// PrefixSlots is the prefix of one object per model, with its replica slots.
 	PrefixSlots = "slots/"
-	// PrefixEngines holds one object an engine: its orderer, epoch and claims.
+	// PrefixEngines is the prefix of one object per engine, with its orderer, epoch and claims.
 	PrefixEngines = "engines/"
-	// PrefixInstances holds one object an entry instance.
+	// PrefixInstances is the prefix of one object per entry instance.
 	PrefixInstances = "instances/"
-	// PrefixBackends is written by the platform: its list of backend servers.
+	// PrefixBackends is the prefix of the backend servers' objects, which the platform writes.
 	PrefixBackends = "backends/"
-	// PrefixRuns holds one object for each key of a non-idempotent request.
+	// PrefixRuns is the prefix of one object for each key of a non-idempotent request.
 	PrefixRuns = "runs/"
 )
--- a/store/revision.go
+++ b/store/revision.go
@@ -2,25 +2,25 @@
 
 import "fmt"
 
-// Revision orders the states of the store: of two, the greater one is the later. A store that
-// came back from a copy gives numbers out again, in another era, so the era goes first. Nothing
-// but this package takes a Revision apart.
+// Revision orders the states of the store: of two revisions, the greater one is the later. A store
+// that was restored from a copy assigns the same numbers again, in a new era; the era is therefore
+// in the upper bits. Only this package splits a Revision into its parts.
 type Revision int64
 
-// numberBits are the lower bits of a Revision, which have the store's own number; the era is in
-// those above. The rates of the platform leave 2^40 numbers for decades.
+// numberBits is the number of lower bits of a Revision, which hold the store's own revision number;
+// the bits above hold the era. At the permitted write rates, 2^40 numbers last for decades.
 const numberBits = 40
 
-// RevisionOf returns the revision with a number in an era.
+// RevisionOf returns the Revision for a number in an era.
 func RevisionOf(era, number int64) Revision { return Revision(era<<numberBits | number) }
 
-// Era returns how often the store had come back from a copy.
+// Era returns the number of times the store had been restored from a copy.
 func (r Revision) Era() int64 { return int64(r) >> numberBits }
 
-// Number returns what the store itself calls the revision.
+// Number returns the store's own revision number.
 func (r Revision) Number() int64 { return int64(r) & (1<<numberBits - 1) }
 
-// String has the era and the number.
+// String returns the revision as ERA.NUMBER, or "none" if it is negative.
 func (r Revision) String() string {
 	if r < 0 {
 		return "none"
--- a/store/wait.go
+++ b/store/wait.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// waitKey has the longest wait of a watch.
+// waitKey is the context key of WaitAtMost.
 type waitKey struct{}
 
-// WaitAtMost has Watch answer without events after so long, where the client would wait longer.
+// WaitAtMost returns a context under which Watch returns after wait if there are no events, even if
+// the client's own waiting time is longer.
 func WaitAtMost(ctx context.Context, wait time.Duration) context.Context {
 	return context.WithValue(ctx, waitKey{}, wait)
 }
 
-// MostWait returns how long a watch may wait that would wait so long by itself.
+// MostWait returns how long a watch may wait: the client's own waiting time, or the limit that
+// WaitAtMost set if that is shorter.
 func MostWait(ctx context.Context, wait time.Duration) time.Duration {
-	if most, limited := ctx.Value(waitKey{}).(time.Duration); limited {
-		return min(most, wait)
+	if limit, limited := ctx.Value(waitKey{}).(time.Duration); limited {
+		return min(limit, wait)
 	}
 	return wait
 }
--- a/store/write.go
+++ b/store/write.go
@@ -12,26 +12,25 @@
 	"github.com/martenport/martenport/internal/pause"
 )
 
-// resolveAttempts bounds how often a write with a lost answer is sent again
-// before the caller is told that it is unknown.
+// resolveAttempts bounds how often a write whose response was lost is sent again before Write
+// returns ErrUnknown.
 const resolveAttempts = 4
 
-// resolvePause is the first pause between those; it doubles each time.
-const resolvePause = 20 * time.Millisecond
+// resolveDelay is the delay before the first of those attempts; it doubles with each further one.
+const resolveDelay = 20 * time.Millisecond
 
-// Write puts value conditionally and resolves a lost answer: the same write is
-// sent again, which is harmless since only one of them can meet the version,
-// and a conflict is read back and compared with value. It returns ErrUnknown
-// only when the platform stayed silent.
+// Write puts value conditionally and resolves a lost response: it sends the same write again, which
+// is safe since at most one of them can match the version. On a conflict it reads the object back
+// and compares it with value. It returns ErrUnknown if the outcome could not be determined.
 func Write(ctx context.Context, s Store, key string, value []byte, version Revision) (Object, error) {
 	obj, err := s.Put(ctx, key, value, version)
-	unsure := errors.Is(err, ErrUnknown)
-	wait := resolvePause
-	for i := 0; unsure && i < resolveAttempts; i++ {
-		if !pause.For(ctx, wait) {
+	unknown := errors.Is(err, ErrUnknown)
+	delay := resolveDelay
+	for i := 0; unknown && i < resolveAttempts; i++ {
+		if !pause.For(ctx, delay) {
 			return Object{}, ErrUnknown
 		}
-		wait *= 2
+		delay *= 2
 		obj, err = s.Put(ctx, key, value, version)
 		if err == nil {
 			return obj, nil
@@ -40,7 +39,7 @@
 			return readBack(ctx, s, key, value)
 		}
 	}
-	if unsure && err != nil {
+	if unknown && err != nil {
 		return Object{}, ErrUnknown
 	}
 	return obj, err
@@ -60,8 +59,8 @@
 	return obj, nil
 }
 
-// sameJSON compares values by what they say: the platform may write their
-// fields in another order.
+// sameJSON compares the decoded values, since the store may write the fields of a value in another
+// order.
 func sameJSON(a, b []byte) bool {
 	var x, y any
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
@@ -70,9 +69,9 @@
 	return reflect.DeepEqual(x, y)
 }
 
-// Read decodes the JSON value under key and returns it with its version, 0 when
-// there is none. The value is always a fresh one: decoding into a value that
-// was used before would keep what the new one leaves out.
+// Read decodes the JSON value under key and returns it with its version, or a version of 0 if there
+// is none. It always decodes into a new value: decoding into a used one would keep fields that the
+// new value lacks.
 func Read[T any](ctx context.Context, s Store, key string) (T, Revision, error) {
 	var v T
 	obj, err := s.Get(ctx, key)
@@ -88,7 +87,7 @@
 	return v, obj.Version, nil
 }
 
-// WriteJSON encodes v and calls Write.
+// WriteJSON encodes v as JSON, calls Write and returns the new version.
 func WriteJSON(ctx context.Context, s Store, key string, v any, version Revision) (Revision, error) {
 	value, err := json.Marshal(v)
 	if err != nil {
