--- a/verdict/rpcerror/rpcerror.go
+++ b/verdict/rpcerror/rpcerror.go
@@ -1,4 +1,4 @@
-// Package rpcerror turns verdicts into errors of the connect protocol.
+// Package rpcerror converts failures to errors of the Connect protocol.
 package rpcerror
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// codes maps reasons to the protocol's codes. Reasons that are not listed are
+// codes maps reasons to codes of the Connect protocol. Reasons that are not listed map to
 // Unavailable.
 var codes = map[verdict.Reason]connect.Code{
 	verdict.ReasonInvalid:      connect.CodeInvalidArgument,
@@ -25,7 +25,7 @@
 	verdict.ReasonBroken:       connect.CodeDataLoss,
 }
 
-// New turns any error into the protocol's error with a Failure detail.
+// New converts err to a Connect error with a Failure as its detail.
 func New(err error) error {
 	f := verdict.Of(err)
 	code, found := codes[f.Reason]
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,7 +1,7 @@
-// Package verdict says whether a request may have run.
+// Package verdict defines whether a request may have run.
 //
-// Every refusal and failure inside martenport is a *Failure carrying a
-// Verdict. Retries are decided by the verdict alone.
+// Every refusal and failure inside martenport is a *Failure that carries a Verdict. Whether
+// the request may be retried follows from the verdict; see Retryable.
 package verdict
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Verdict says whether a request may have run on a backend server.
+// Verdict states whether a request may have run on a backend server.
 type Verdict int
 
-// The verdicts, from the one that permits most to the one that permits least.
+// The verdicts, from the one that permits most retries to the one that permits fewest.
 const (
 	// NotRun means that the request did not run and will not run.
 	NotRun Verdict = iota + 1
@@ -26,7 +26,7 @@
 	Ran
 )
 
-// String returns the verdict's name as used in the interface.
+// String returns the verdict's name as used in the API.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -43,29 +43,29 @@
 // Reason is a stable machine-readable cause; docs/API.md lists them.
 type Reason string
 
-// The reasons of refusals and failures.
+// Reasons of refusals and failures.
 const (
-	ReasonInvalid      Reason = "invalid"       // the request breaks a limit or lacks a field
+	ReasonInvalid      Reason = "invalid"       // the request exceeds a limit or lacks a field
 	ReasonNoRoute      Reason = "no_route"      // no configured route leads to a service
-	ReasonUnknownModel Reason = "unknown_model" // not declared
+	ReasonUnknownModel Reason = "unknown_model" // the model is not declared
 	ReasonQueueFull    Reason = "queue_full"    // a bounded queue is full
-	ReasonDeadline     Reason = "deadline"      // cannot be met, or has passed
-	ReasonNoReplica    Reason = "no_replica"    // cap or memory permits no replica now
+	ReasonDeadline     Reason = "deadline"      // the deadline cannot be met, or has passed
+	ReasonNoReplica    Reason = "no_replica"    // the replica limit or memory currently permits no replica
 	ReasonDraining     Reason = "draining"      // the instance is leaving
-	ReasonPlatform     Reason = "platform"      // the platform cannot be reached and is needed
+	ReasonPlatform     Reason = "platform"      // the platform is required and not reachable
 	ReasonBackend      Reason = "backend"       // the backend server refused or failed
-	ReasonBroken       Reason = "broken"        // the answer broke off
-	ReasonKeyReused    Reason = "key_reused"    // the key was used with other content
-	ReasonKeyTaken     Reason = "key_taken"     // the key ran or may have run elsewhere
-	ReasonCancelled    Reason = "cancelled"     // the caller cancelled or left
-	ReasonTooSlow      Reason = "too_slow"      // a load that is needed cannot be finished in time
-	ReasonNoSlot       Reason = "no_slot"       // every slot of the model is bound elsewhere
-	ReasonNotOrderer   Reason = "not_orderer"   // the instance does not order this engine
+	ReasonBroken       Reason = "broken"        // the response broke off
+	ReasonKeyReused    Reason = "key_reused"    // the key was used for a request with other content
+	ReasonKeyTaken     Reason = "key_taken"     // the request of the key ran or may have run elsewhere
+	ReasonCancelled    Reason = "cancelled"     // the client cancelled the request or disconnected
+	ReasonTooSlow      Reason = "too_slow"      // a required model load cannot finish in time
+	ReasonNoSlot       Reason = "no_slot"       // every slot of the model is bound to another engine
+	ReasonNotOrderer   Reason = "not_orderer"   // the instance is not the orderer of this engine
 	ReasonStaleEpoch   Reason = "stale_epoch"   // the engine has seen a newer fencing number
-	ReasonQuarantined  Reason = "quarantined"   // servers end while the request runs
-	ReasonUnauthorized Reason = "unauthorized"  // the request bears no key that is known
-	ReasonOverLimit    Reason = "over_limit"    // the workspace asks for more than its limit
-	ReasonHeldBack     Reason = "held_back"     // all servers that could run it limit what they take, or rest
+	ReasonQuarantined  Reason = "quarantined"   // servers ended while the request ran on them
+	ReasonUnauthorized Reason = "unauthorized"  // the request has no known key
+	ReasonOverLimit    Reason = "over_limit"    // the workspace exceeds its limit
+	ReasonHeldBack     Reason = "held_back"     // all eligible servers are at their limit or asked for a pause
 	ReasonStalePlan    Reason = "stale_plan"    // the plan's base generation is not current
 )
 
@@ -74,13 +74,13 @@
 	Verdict Verdict
 	Reason  Reason
 	Detail  string
-	// RetryAfter is when trying again makes sense; 0 when it never does.
+	// RetryAfter is how long to wait before a retry; 0 if a retry is pointless.
 	RetryAfter time.Duration
-	// Silent: what was awaited did not come; a cut link, a frozen machine and one without
-	// power do the same.
+	// Silent reports that the request timed out without a response. A partition, a suspended
+	// machine and one without power cannot be told apart.
 	Silent bool
-	// Engines are those that stand in the way: for no_slot, the engines that
-	// hold the slots.
+	// Engines are the engines that caused the refusal; for no_slot, the engines that hold the
+	// slots.
 	Engines []string
 }
 
@@ -106,11 +106,12 @@
 	return &c
 }
 
-// From returns a copy of f that notes what its cause tells beside the detail.
+// From returns a copy of f with Silent set according to its cause: true if cause is a network
+// timeout.
 func (f *Failure) From(cause error) *Failure {
 	c := *f
-	var timed net.Error
-	c.Silent = errors.As(cause, &timed) && timed.Timeout()
+	var netErr net.Error
+	c.Silent = errors.As(cause, &netErr) && netErr.Timeout()
 	return &c
 }
 
@@ -121,8 +122,8 @@
 	return &c
 }
 
-// Of returns err as a Failure. An error that carries no Failure is taken as
-// MayHaveRun, the verdict that never permits a wrong retry.
+// Of returns err as a Failure, nil if err is nil. An error that wraps no Failure gets the verdict
+// MayHaveRun, which never permits an unsafe retry.
 func Of(err error) *Failure {
 	if err == nil {
 		return nil
