--- a/cmd/martenctl/explain.go
+++ b/cmd/martenctl/explain.go
@@ -39,7 +39,7 @@
 	if request == "" {
 		return c.printOutcomes(explain.Outcomes(lines))
 	}
-	found, err := explain.Request(lines, request)
+	found, err := explain.RequestLines(lines, request)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 		if err != nil {
 			return nil, cli.Usage(errors.Wrap(err, "log"))
 		}
-		read, err := explain.Read(file, strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)))
+		read, err := explain.ParseLog(file, strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)))
 		_ = file.Close()
 		if err != nil {
 			return nil, err
@@ -73,7 +73,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "PRIORITY\tOUTCOME\tFOR\tREQUESTS\tSHARE\tWORTH")
 	for _, g := range groups {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%.3f\t%.3f\n", g.Priority, g.Outcome, g.For, g.Requests, g.Share, g.Worth)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%.3f\t%.3f\n", g.Priority, g.Outcome, g.Cause, g.Requests, g.Share, g.WeightShare)
 	}
 	return w.Flush()
 }
--- a/query/explain/explain.go
+++ b/query/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain finds, in the logs of entry instances, the lines that say why
-// a request ended as it did: its own, and the decisions about what it needed.
+// Package explain selects, from the logs of entry instances, the lines that explain the outcome of
+// a request: its own lines, and the decisions about the model, servers and lease that it depended
+// on.
 package explain
 
 import (
@@ -14,39 +15,38 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// ErrNotFound: no line names the request.
+// ErrNotFound is returned if no line names the request.
 var ErrNotFound = errors.New("explain: no line names the request")
 
-// Line is one line of a log.
+// Line is one log line.
 type Line struct {
 	Time time.Time
-	// Instance is the one that wrote it.
+	// Instance is the name of the instance that wrote the line.
 	Instance string
 	Message  string
-	// Fields are the others, by key.
+	// Fields are the fields of the line other than time, level and message, by key.
 	Fields map[string]string
-	// Text is the line as it stands in the log, without time and level.
+	// Text is the line without time and level.
 	Text string
 }
 
-// Read reads a log of key=value lines. Words before the first key that carry no
-// value name the instance; where there are none, instance does. Lines without a
-// time are passed over.
-func Read(log io.Reader, instance string) ([]Line, error) {
+// ParseLog parses a log of key=value lines. The last word without a value before the time names the
+// instance; if there is none, the parameter instance does. Lines without a time are skipped.
+func ParseLog(log io.Reader, instance string) ([]Line, error) {
 	var lines []Line
 	text, err := io.ReadAll(log)
 	if err != nil {
 		return nil, errors.Wrap(err, "explain: log")
 	}
 	for raw := range bytes.Lines(text) {
-		if line, ok := parse(raw, instance); ok {
+		if line, ok := parseLine(raw, instance); ok {
 			lines = append(lines, line)
 		}
 	}
 	return lines, nil
 }
 
-func parse(raw []byte, instance string) (Line, bool) {
+func parseLine(raw []byte, instance string) (Line, bool) {
 	line := Line{Instance: instance, Fields: map[string]string{}}
 	var text []string
 	d := logfmt.NewDecoder(bytes.NewReader(raw))
@@ -65,7 +65,7 @@
 		case key == "msg":
 			line.Message = value
 		case line.Time.IsZero() && value == "":
-			line.Instance = key // the last word before the time
+			line.Instance = key // the last such word before the time is kept
 		case key != "level":
 			line.Fields[key] = value
 			text = append(text, key+"="+strconv.Quote(value))
@@ -75,25 +75,26 @@
 	return line, d.Err() == nil && !line.Time.IsZero()
 }
 
-// before is how long before a request's first line decisions may have shaped it:
-// longer than a take-over of the lease.
-const before = 12 * time.Second
+// lookback is the time before a request's first line in which decisions may have affected it. It is
+// longer than a takeover of the lease.
+const lookback = 12 * time.Second
 
-// Request returns the lines that concern a request, in the order of time.
-func Request(lines []Line, id string) ([]Line, error) {
-	var own []Line
+// RequestLines returns the lines that concern a request, in order of time. It returns ErrNotFound
+// if no line names the request.
+func RequestLines(lines []Line, id string) ([]Line, error) {
+	var named []Line
 	for _, l := range lines {
 		if l.Fields["request"] == id {
-			own = append(own, l)
+			named = append(named, l)
 		}
 	}
-	if len(own) == 0 {
+	if len(named) == 0 {
 		return nil, errors.Wrap(ErrNotFound, id)
 	}
-	c := newConcern(own)
+	s := newScope(named)
 	var found []Line
 	for _, l := range lines {
-		if c.concerns(l, id) {
+		if s.includes(l, id) {
 			found = append(found, l)
 		}
 	}
@@ -101,45 +102,44 @@
 	return found, nil
 }
 
-// concern is what a request depended on, and when.
-type concern struct {
+// scope is the set of things that a request depended on, and the time range.
+type scope struct {
 	instance string
 	model    string
 	engines  map[string]bool
 	from, to time.Time
 }
 
-func newConcern(own []Line) *concern {
-	c := &concern{instance: own[0].Instance, engines: map[string]bool{}, from: own[0].Time, to: own[0].Time}
-	for _, l := range own {
+func newScope(lines []Line) *scope {
+	s := &scope{instance: lines[0].Instance, engines: map[string]bool{}, from: lines[0].Time, to: lines[0].Time}
+	for _, l := range lines {
 		if unit := l.Fields["unit"]; unit != "" {
-			c.model, _, _ = strings.Cut(unit, "/")
+			s.model, _, _ = strings.Cut(unit, "/")
 		}
 		for _, server := range append(strings.Split(l.Fields["held_back"], ","), l.Fields["server"]) {
 			if server != "" {
-				c.engines[server] = true
+				s.engines[server] = true
 			}
 		}
-		took, _ := strconv.Atoi(l.Fields["ms"]) // a line without it took no time
-		if begun := l.Time.Add(-time.Duration(took) * time.Millisecond); begun.Before(c.from) {
-			c.from = begun
+		elapsedMS, _ := strconv.Atoi(l.Fields["ms"]) // 0 for lines without a duration
+		if began := l.Time.Add(-time.Duration(elapsedMS) * time.Millisecond); began.Before(s.from) {
+			s.from = began
 		}
-		if l.Time.After(c.to) {
-			c.to = l.Time
+		if l.Time.After(s.to) {
+			s.to = l.Time
 		}
 	}
-	c.from = c.from.Add(-before)
-	return c
+	s.from = s.from.Add(-lookback)
+	return s
 }
 
-// concerns reports whether a line says something about the request or what it
-// depended on: its model and servers, the lease, and its instance's view of the
-// store, the holder and the configuration.
-func (c *concern) concerns(l Line, id string) bool {
+// includes reports whether a line is about the request or what it depended on: its model and
+// servers, the lease, and its instance's view of the store, the holder and the configuration.
+func (s *scope) includes(l Line, id string) bool {
 	if other := l.Fields["request"]; other != "" {
 		return other == id
 	}
-	if l.Time.Before(c.from) || l.Time.After(c.to) {
+	if l.Time.Before(s.from) || l.Time.After(s.to) {
 		return false
 	}
 	unit := l.Fields["load"]
@@ -148,13 +148,13 @@
 	}
 	model, _, _ := strings.Cut(unit, "/")
 	switch {
-	case c.model != "" && model == c.model:
+	case s.model != "" && model == s.model:
 		return true
-	case c.engines[l.Fields["server"]]:
-		return l.Instance == c.instance
+	case s.engines[l.Fields["server"]]:
+		return l.Instance == s.instance
 	case strings.HasPrefix(l.Message, "lease "):
 		return true
 	default:
-		return l.Instance == c.instance && model == "" && l.Fields["engine"] == "" && l.Fields["server"] == ""
+		return l.Instance == s.instance && model == "" && l.Fields["engine"] == "" && l.Fields["server"] == ""
 	}
 }
--- a/query/explain/explain_test.go
+++ b/query/explain/explain_test.go
@@ -19,11 +19,11 @@
 `
 
 func TestRequest(t *testing.T) {
-	lines, err := Read(strings.NewReader(sampleLog), "file")
+	lines, err := ParseLog(strings.NewReader(sampleLog), "file")
 	if err != nil || len(lines) != 8 {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
-	found, err := Request(lines, "r1")
+	found, err := RequestLines(lines, "r1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,33 +35,34 @@
 	if strings.Join(got, "|") != want {
 		t.Errorf("got %s", strings.Join(got, "|"))
 	}
-	if _, err := Request(lines, "r2"); !errors.Is(err, ErrNotFound) {
-		t.Errorf("%v, want not found", err)
+	if _, err := RequestLines(lines, "r2"); !errors.Is(err, ErrNotFound) {
+		t.Errorf("%v, want ErrNotFound", err)
 	}
 }
 
-func TestInstanceOfFile(t *testing.T) {
-	lines, err := Read(strings.NewReader(`time="2026-04-07T22:21:02.900Z" level=info msg="x" request=r1`), "edge-7")
+func TestInstanceDefaultsToFile(t *testing.T) {
+	lines, err := ParseLog(strings.NewReader(`time="2026-04-07T22:21:02.900Z" level=info msg="x" request=r1`), "edge-7")
 	if err != nil || len(lines) != 1 || lines[0].Instance != "edge-7" {
 		t.Errorf("%+v, %v", lines, err)
 	}
 }
 
-// TestRefusedByKeyOrLimit: a request that was refused for its key, its workspace's limit or the age of
-// what is known of keys is explained by its own line, which has the workspace and the age, and by
-// what its instance said of keys and the holder before.
+// TestRefusedByKeyOrLimit checks that a request that was refused because of its key, its
+// workspace's limit or outdated key information is explained by its own line, which has the
+// workspace and the age of the information, and by what its instance logged about keys and the
+// holder before.
 func TestRefusedByKeyOrLimit(t *testing.T) {
 	const log = `edge-1 time="2026-04-07T22:21:01.000Z" level=warning msg="keys are not relied on any more: requests that need one are refused" config=7 config_age_ms=4310 holder_answers=false
 edge-1 time="2026-04-07T22:21:02.000Z" level=info msg="request not answered: it is not known whether keys were taken away" request=aged config_age_ms=5310 reason=platform ms=0 route=r verdict=NotRun priority=1
 edge-2 time="2026-04-07T22:21:02.100Z" level=info msg="request not answered: workspace w asks for more than its limit" request=over workspace=w config_age_ms=310 reason=over_limit ms=0 route=r verdict=NotRun priority=1
 edge-2 time="2026-04-07T22:21:02.200Z" level=info msg="request not answered: no workspace has the key" request=unknown config_age_ms=410 reason=unauthorized ms=0 route=r verdict=NotRun priority=1
 `
-	lines, err := Read(strings.NewReader(log), "file")
+	lines, err := ParseLog(strings.NewReader(log), "file")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for id, want := range map[string]string{"aged": "keys are not relied on any more", "over": "workspace w asks for more", "unknown": "no workspace has the key"} {
-		found, err := Request(lines, id)
+		found, err := RequestLines(lines, id)
 		if err != nil || len(found) == 0 {
 			t.Fatalf("%s: %v", id, err)
 		}
@@ -76,20 +77,20 @@
 	}
 }
 
-// TestRefusedForWordsOfServers: a request that was refused since all servers limit what they take,
-// or rest, is explained by what they said, as its instance heard it.
-func TestRefusedForWordsOfServers(t *testing.T) {
+// TestRefusedForServerAdvisories checks that a request that was refused because all servers were at
+// their limit or asked for a pause is explained by their advisories, as its instance logged them.
+func TestRefusedForServerAdvisories(t *testing.T) {
 	const log = `edge-1 time="2026-04-07T22:21:01.000Z" level=info msg="server's limit changed" limited=true rate=1.5 server=s1 source=edge-2
 edge-1 time="2026-04-07T22:21:01.100Z" level=info msg="server asks for rest" rest_ms=3000 server=s2
 edge-1 time="2026-04-07T22:21:01.200Z" level=info msg="server asks for rest" rest_ms=3000 server=s3
 edge-1 time="2026-04-07T22:21:02.000Z" level=info msg="request not answered: no server of plain that could run it takes anything for 1.9s" request=r held_back=s1,s2 reason=held_back ms=0 route=r verdict=NotRun priority=1
 `
-	lines, err := Read(strings.NewReader(log), "file")
+	lines, err := ParseLog(strings.NewReader(log), "file")
 	if err != nil {
 		t.Fatal(err)
 	}
-	found, err := Request(lines, "r")
+	found, err := RequestLines(lines, "r")
 	if err != nil || len(found) != 3 || found[0].Fields["server"] != "s1" || found[1].Fields["server"] != "s2" {
-		t.Errorf("%v, %v: want what s1 and s2 said, and the refusal", found, err)
+		t.Errorf("%v, %v: want the advisories of s1 and s2, and the refusal", found, err)
 	}
 }
--- a/query/explain/outcomes.go
+++ b/query/explain/outcomes.go
@@ -9,39 +9,39 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is how a request ended from its client's point of view.
 type Outcome string
 
-// The outcomes.
+// Outcomes of requests.
 const (
 	OnTime  Outcome = "on_time"
 	Late    Outcome = "late"
 	Refused Outcome = "refused"
 	Failed  Outcome = "failed"
-	// Left: the client did not wait for the end.
-	Left Outcome = "left"
+	// Abandoned means that the client disconnected before the request ended.
+	Abandoned Outcome = "left"
 )
 
-// Group is the requests of a priority that ended alike for the same reason.
+// Group is the set of requests of one priority with the same outcome and cause.
 type Group struct {
-	// Priority is noPriority for requests that no route was found for.
+	// Priority is noPriority for requests that matched no route.
 	Priority int     `json:"priority"`
 	Outcome  Outcome `json:"outcome"`
-	// For is what they waited for most, or what else made them late or fail; empty
-	// if nothing did.
-	For string `json:"for"`
-	// Requests is their number, Share that of all, and Worth their part of the weight
-	// of all, by priority.
-	Requests int     `json:"requests"`
-	Share    float64 `json:"share"`
-	Worth    float64 `json:"worth"`
+	// Cause is what the requests waited for longest, or what else delayed them or made them fail;
+	// empty if nothing did.
+	Cause string `json:"for"`
+	// Requests is the number of requests, Share their fraction of all requests, and WeightShare
+	// their fraction of the total weight, which depends on the priority.
+	Requests    int     `json:"requests"`
+	Share       float64 `json:"share"`
+	WeightShare float64 `json:"worth"`
 }
 
-// forEngine is the reason of requests that an engine was slow to begin.
-const forEngine = "engine"
+// causeEngine is the cause of requests that an engine was slow to start.
+const causeEngine = "engine"
 
-// Outcomes groups all requests that the logs tell the end of, by priority and then by
-// falling number.
+// Outcomes groups all requests whose end is logged, ordered by priority and then by descending
+// number of requests.
 func Outcomes(lines []Line) []Group {
 	type key struct {
 		priority int
@@ -63,27 +63,28 @@
 	groups := make([]Group, 0, len(counts))
 	for k, n := range counts {
 		groups = append(groups, Group{
-			Priority: k.priority, Outcome: k.outcome, For: k.cause, Requests: n,
-			Share: float64(n) / float64(total), Worth: float64(n) * weightOf(k.priority) / max(weight, leastWeight),
+			Priority: k.priority, Outcome: k.outcome, Cause: k.cause, Requests: n,
+			Share: float64(n) / float64(total), WeightShare: float64(n) * weightOf(k.priority) / max(weight, minWeight),
 		})
 	}
 	slices.SortFunc(groups, func(a, b Group) int {
-		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(b.Requests, a.Requests), cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(a.For, b.For))
+		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(b.Requests, a.Requests),
+			cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(a.Cause, b.Cause))
 	})
 	return groups
 }
 
-// noPriority is that of requests without a route, which weigh nothing.
+// noPriority is the priority of requests without a route, whose weight is 0.
 const noPriority = -1
 
-// leastWeight is below that of any request.
-const leastWeight = 1e-9
+// minWeight is less than the weight of any request and prevents a division by zero.
+const minWeight = 1e-9
 
 func priorityOf(l Line) int {
 	if l.Fields["priority"] == "" {
 		return noPriority
 	}
-	return number(l, "priority")
+	return intField(l, "priority")
 }
 
 func weightOf(priority int) float64 {
@@ -93,34 +94,35 @@
 	return serving.Weight(priority)
 }
 
-// outcomeOf says how a request ended, if the line is its last one.
+// outcomeOf returns the outcome of a request and whether the line is the request's last one. Other
+// lines have no outcome.
 func outcomeOf(l Line) (Outcome, bool) {
 	switch {
 	case l.Message == "request answered":
-		return answered(l), true
+		return answeredOutcome(l), true
 	case strings.HasPrefix(l.Message, "request not answered"), strings.HasPrefix(l.Message, "request refused"):
-		return unanswered(l), true
+		return unansweredOutcome(l), true
 	default:
 		return "", false
 	}
 }
 
-func answered(l Line) Outcome {
-	const firstFailure = 500
+func answeredOutcome(l Line) Outcome {
+	const firstServerError = 500
 	switch {
-	case number(l, "status") >= firstFailure:
+	case intField(l, "status") >= firstServerError:
 		return Failed
-	case objective(l) > 0 && firstAnswer(l) > objective(l):
+	case objectiveMS(l) > 0 && responseTimeMS(l) > objectiveMS(l):
 		return Late
 	default:
 		return OnTime
 	}
 }
 
-func unanswered(l Line) Outcome {
+func unansweredOutcome(l Line) Outcome {
 	switch {
 	case l.Fields["reason"] == "cancelled":
-		return Left
+		return Abandoned
 	case l.Fields["verdict"] == "NotRun", strings.HasPrefix(l.Message, "request refused"):
 		return Refused
 	default:
@@ -128,17 +130,17 @@
 	}
 }
 
-// causeOf says why a request ended as it did: what it waited for, the engine if it was
-// slow without that, or the reason that the instance gives.
+// causeOf returns the cause of an outcome: what the request waited for, the engine if it was slow
+// without such a wait, or the reason that the instance logged.
 func causeOf(l Line, outcome Outcome) string {
 	waited := l.Fields["waited_for"]
 	switch {
 	case outcome == OnTime:
 		return ""
-	case outcome == Late && waited != "" && 2*number(l, "waited_ms") >= firstAnswer(l):
+	case outcome == Late && waited != "" && 2*intField(l, "waited_ms") >= responseTimeMS(l):
 		return waited
 	case outcome == Late:
-		return forEngine
+		return causeEngine
 	case outcome == Refused && waited != "":
 		return waited
 	case l.Fields["reason"] != "":
@@ -148,19 +150,19 @@
 	}
 }
 
-// firstAnswer is how long the client waited, in milliseconds: for the first event of a
-// stream, or the whole answer.
-func firstAnswer(l Line) int {
+// responseTimeMS returns how long the client waited, in milliseconds: for the first event of a
+// stream, or for the whole response.
+func responseTimeMS(l Line) int {
 	if l.Fields["first_ms"] != "" {
-		return number(l, "first_ms")
+		return intField(l, "first_ms")
 	}
-	return number(l, "ms")
+	return intField(l, "ms")
 }
 
-func objective(l Line) int { return number(l, "objective_ms") }
+func objectiveMS(l Line) int { return intField(l, "objective_ms") }
 
-// number reads a whole number; a line without it has none of what it counts.
-func number(l Line, key string) int {
+// intField returns the integer value of a field, 0 if the line lacks the field or it is no integer.
+func intField(l Line, key string) int {
 	n, err := strconv.Atoi(l.Fields[key])
 	if err != nil {
 		return 0
--- a/query/explain/outcomes_test.go
+++ b/query/explain/outcomes_test.go
@@ -17,19 +17,19 @@
 time="2026-04-07T22:21:02Z" level=info msg="request refused: no route of configuration 3" request=r8 reason=no_route
 `
 
-// TestOutcomes: each request counts once, by how it ended and for what, and shares add
-// up.
+// TestOutcomes checks that each request is counted once, by its outcome and cause, and that the
+// shares add up to 1.
 func TestOutcomes(t *testing.T) {
-	lines, err := Read(strings.NewReader(endedLog), "edge-1")
+	lines, err := ParseLog(strings.NewReader(endedLog), "edge-1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := map[string]int{}
-	share, worth := 0.0, 0.0
+	share, weightShare := 0.0, 0.0
 	for _, g := range Outcomes(lines) {
-		got[strings.TrimSpace(string(g.Outcome)+" "+g.For)] += g.Requests
+		got[strings.TrimSpace(string(g.Outcome)+" "+g.Cause)] += g.Requests
 		share += g.Share
-		worth += g.Worth
+		weightShare += g.WeightShare
 	}
 	want := map[string]int{
 		"on_time": 1, "late disk": 1, "late engine": 1, "failed status 500": 1, "refused copies_in_use": 1, "left cancelled": 1, "failed broken": 1,
@@ -40,7 +40,7 @@
 			t.Errorf("%s: %d requests, want %d", k, got[k], n)
 		}
 	}
-	if len(got) != len(want) || math.Abs(share-1) > 1e-9 || math.Abs(worth-1) > 1e-9 {
-		t.Errorf("%v, shares add up to %v and %v", got, share, worth)
+	if len(got) != len(want) || math.Abs(share-1) > 1e-9 || math.Abs(weightShare-1) > 1e-9 {
+		t.Errorf("%v, shares add up to %v and %v", got, share, weightShare)
 	}
 }
--- a/query/status/status.go
+++ b/query/status/status.go
@@ -1,4 +1,4 @@
-// Package status describes what an instance knows of the fleet.
+// Package status describes an instance's view of the fleet.
 package status
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/martenport/martenport/table"
 )
 
-// Model is the state of one declared model as known here.
+// Model is the state of one declared model as this instance knows it.
 type Model struct {
 	Name        string
 	MaxReplicas int
 	Resident    int
 	Loading     int
-	// Waiting counts this instance's requests for it.
+	// Waiting is the number of this instance's requests that wait for the model.
 	Waiting int
-	// WhyNotLoaded is empty when a replica is resident.
+	// WhyNotLoaded is the reason why no replica is resident, empty if one is.
 	WhyNotLoaded string
 }
 
-// Models returns the state of every declared model, in declared order.
+// Models returns the state of every declared model, in the order of the declaration.
 func Models(tables *table.Tables, gate *admission.Gate) []Model {
 	index := tables.Config.Index()
 	engines := tables.Engines.All()
@@ -46,42 +46,42 @@
 		}
 	}
 	if out.Resident == 0 {
-		out.WhyNotLoaded = why(m, out, engines)
+		out.WhyNotLoaded = reasonNotLoaded(m, out, engines)
 	}
 	return out
 }
 
-// why names the first condition that keeps a model from being loaded.
-func why(m *declaration.Model, state Model, engines []table.EngineView) string {
+// reasonNotLoaded returns the first condition that prevents a model from being loaded.
+func reasonNotLoaded(m *declaration.Model, state Model, engines []table.EngineView) string {
 	switch {
 	case m.MaxReplicas == 0:
 		return "maxReplicas is 0"
 	case state.Loading > 0:
 		return "being loaded"
 	}
-	room, ordered := false, false
+	hasRoom, hasOrderer := false, false
 	for _, e := range engines {
 		if !e.Usable() || !m.AllowedIn(e.FailureDomain) {
 			continue
 		}
-		ordered = ordered || e.Orderer != ""
-		room = room || e.MemoryBytes-e.UsedBytes+e.IdleBytes >= int64(m.Memory)
+		hasOrderer = hasOrderer || e.Orderer != ""
+		hasRoom = hasRoom || e.MemoryBytes-e.UsedBytes+e.IdleBytes >= int64(m.Memory)
 		if slices.Contains(e.Doubtful, m.Name) {
 			return fmt.Sprintf("doubtful claim on %s: an earlier orderer may still load it there", e.Engine)
 		}
 	}
 	switch {
-	case !ordered:
+	case !hasOrderer:
 		return "no engine it may run on has an orderer"
-	case !room:
+	case !hasRoom:
 		return "no engine it may run on has room, even after unloading what is idle"
 	default:
 		return "idle: no request has asked for it since it was last unloaded"
 	}
 }
 
-// ReportAge returns how long ago this instance last heard of a change on the
-// engine.
+// ReportAge returns the time since this instance last received a change of the engine, 0 if it
+// never did.
 func ReportAge(e table.EngineView, now time.Time) time.Duration {
 	if e.SeenAt.IsZero() {
 		return 0
--- a/query/timeline/timeline.go
+++ b/query/timeline/timeline.go
@@ -11,44 +11,45 @@
 	"github.com/martenport/martenport/table"
 )
 
-// Timeline is the merged events, and who did not answer.
+// Timeline has the merged events and the names of the instances that did not answer.
 type Timeline struct {
 	Events      []event.Event
 	Unreachable []string
 }
 
-// Collector asks all instances for their events.
+// Collector collects the events of all instances.
 type Collector struct {
 	tables *table.Tables
 	own    *event.Recorder
 	peers  *peer.Client
 }
 
-// NewCollector returns a collector at one instance.
+// NewCollector returns a Collector of one instance, with its table of members, its own events and
+// its client of the others.
 func NewCollector(tables *table.Tables, own *event.Recorder, peers *peer.Client) *Collector {
 	return &Collector{tables: tables, own: own, peers: peers}
 }
 
-// workers bounds how many instances are asked at once.
-const workers = 16
+// maxConcurrentCalls bounds the number of instances that are queried at the same time.
+const maxConcurrentCalls = 16
 
-// Collect returns the events that pass f, oldest first. Instances known to be
-// dead, and those that do not answer in ctx's time, are named.
+// Collect returns the events that match f, oldest first. Unreachable lists the instances that did
+// not answer before ctx ended, including those known to be dead.
 func (c *Collector) Collect(ctx context.Context, f event.Filter) Timeline {
 	var (
 		mu  sync.Mutex
-		out = Timeline{Events: c.own.Select(f)}
-		all sync.WaitGroup
+		out = Timeline{Events: c.own.Select(f)} // guarded by mu until all calls have ended
+		wg  sync.WaitGroup
 	)
-	slots := make(chan struct{}, workers)
+	semaphore := make(chan struct{}, maxConcurrentCalls)
 	self := c.tables.Members.Self().Name
 	for _, m := range c.tables.Members.All() {
 		if m.Name == self {
 			continue
 		}
-		all.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
+		wg.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			events, err := c.peers.Events(ctx, m.PeerAddress, f)
 			mu.Lock()
 			defer mu.Unlock()
@@ -59,17 +60,17 @@
 			out.Events = append(out.Events, events...)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	slices.Sort(out.Unreachable)
-	Order(out.Events)
+	Sort(out.Events)
 	if f.Limit > 0 && len(out.Events) > f.Limit {
 		out.Events = out.Events[len(out.Events)-f.Limit:]
 	}
 	return out
 }
 
-// Order sorts events causally: by stamp, and by process where stamps are equal.
-func Order(events []event.Event) {
+// Sort sorts events in causal order: by stamp, and by process if the stamps are equal.
+func Sort(events []event.Event) {
 	slices.SortStableFunc(events, func(a, b event.Event) int {
 		if c := a.Stamp.Compare(b.Stamp); c != 0 {
 			return c
