--- a/internal/boundedlog/boundedlog.go
+++ b/internal/boundedlog/boundedlog.go
@@ -1,4 +1,4 @@
-// Package boundedlog writes log lines without ever making their writer wait.
+// Package boundedlog writes log lines without ever blocking the logging goroutine.
 package boundedlog
 
 import (
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Writer passes lines on to another writer from a goroutine of its own. Lines
-// that find the buffer full are dropped and counted, and the count is written
-// as a line of its own as soon as there is room.
+// Writer forwards lines to another writer from its own goroutine. Lines that arrive while the
+// buffer is full are dropped and counted; the count is written as a separate line as soon as the
+// underlying writer accepts lines again.
 type Writer struct {
-	to      io.Writer
+	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 	closing chan struct{}
@@ -21,25 +21,25 @@
 	close   sync.Once
 }
 
-// New returns a Writer with a buffer of so many lines.
-func New(to io.Writer, lines int) *Writer {
-	w := &Writer{to: to, lines: make(chan []byte, lines), closing: make(chan struct{}), done: make(chan struct{})}
+// New returns a Writer with a buffer for the given number of lines.
+func New(out io.Writer, lines int) *Writer {
+	w := &Writer{out: out, lines: make(chan []byte, lines), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It takes one line and never fails.
+// Write implements io.Writer. It takes one line, never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
-	own := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case w.lines <- own:
+	case w.lines <- copied:
 	default:
 		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped counts the lines that were dropped and not yet reported.
+// Dropped returns the number of lines that were dropped and not yet reported.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
 func (w *Writer) run() {
@@ -47,34 +47,34 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.pass(line)
+			w.writeLine(line)
 		case <-w.closing:
-			w.rest()
+			w.flush()
 			return
 		}
 	}
 }
 
-func (w *Writer) pass(line []byte) {
-	_, _ = w.to.Write(line) // there is nowhere else to report to
+func (w *Writer) writeLine(line []byte) {
+	_, _ = w.out.Write(line) // an error cannot be reported anywhere
 	if n := w.dropped.Swap(0); n > 0 {
-		_, _ = fmt.Fprintf(w.to, "time=%q level=warning msg=\"log lines dropped\" lines=%d\n", time.Now().Format(time.RFC3339), n)
+		_, _ = fmt.Fprintf(w.out, "time=%q level=warning msg=\"log lines dropped\" lines=%d\n", time.Now().Format(time.RFC3339), n)
 	}
 }
 
-// rest writes what is buffered.
-func (w *Writer) rest() {
+// flush writes the buffered lines.
+func (w *Writer) flush() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.pass(line)
+			w.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// Close writes what is buffered, waiting at most for limit.
+// Close writes the buffered lines and stops the Writer. It waits for at most limit.
 func (w *Writer) Close(limit time.Duration) {
 	w.close.Do(func() { close(w.closing) })
 	select {
