--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what the programs share: parsing of flags, the log, and the
-// signals that end them.
+// Package cli has what the programs share: flag parsing, exit codes, the log, and the signals that
+// stop them.
 package cli
 
 import (
@@ -18,24 +18,24 @@
 // Exit codes of all programs; docs/OPERATIONS.md lists them.
 const (
 	ExitOK      = 0
-	ExitFailed  = 1 // the work failed
-	ExitUsage   = 2 // flags, environment or a declaration are at fault
-	ExitRefused = 3 // the fleet refused, such as a stale plan
+	ExitFailed  = 1 // the operation failed
+	ExitUsage   = 2 // invalid flags, environment or declaration
+	ExitRefused = 3 // the fleet refused the request, for example because of a stale plan
 )
 
-// Exit is an error that brings its own exit code.
+// Exit is an error with its own exit code.
 type Exit struct {
 	Code int
 	Err  error
 }
 
-// Error returns the message of the error within.
+// Error returns the message of the wrapped error.
 func (e *Exit) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error within.
+// Unwrap returns the wrapped error.
 func (e *Exit) Unwrap() error { return e.Err }
 
-// Usage marks err as a fault of flags, environment or a declaration.
+// Usage marks err as caused by invalid flags, environment or a declaration.
 func Usage(err error) error { return &Exit{Code: ExitUsage, Err: err} }
 
 // Finish prints err, if any, and returns the exit code for it.
@@ -60,7 +60,7 @@
 	}
 }
 
-// Parse fills target from flags and environment; other arguments are a fault.
+// Parse fills target from flags and environment. Positional arguments are an error.
 func Parse(target any, args []string) error {
 	rest, err := flags.NewParser(target, flags.HelpFlag|flags.PassDoubleDash).ParseArgs(args)
 	if err != nil {
@@ -72,10 +72,10 @@
 	return nil
 }
 
-// timestampFormat has milliseconds: loads take a second, requests less.
+// timestampFormat includes milliseconds: a model load takes about a second, a request less.
 const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Log returns a log with one key=value line an event.
+// Log returns a logger that writes one line of key=value pairs per entry.
 func Log(level string, to io.Writer) (*logrus.Logger, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return log, nil
 }
 
-// UntilSignal returns a context that ends at SIGINT or SIGTERM.
+// UntilSignal returns a context that is cancelled by SIGINT or SIGTERM.
 func UntilSignal() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
