--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,10 @@
-// Package clock tells the time by which an instance judges how old what it believes is.
+// Package clock provides the time by which an instance judges the age of its information.
 //
-// A machine may be suspended for seconds. The steady clock, by which time.Now measures and
-// timers run, does not count that time: a lease that was renewed before would look good, and
-// the word of others new. Times of this package go on while the machine is suspended. They
-// are compared with each other alone: what the time package has to act on, such as timers and
-// deadlines of connections, gets durations or times of its own.
+// A machine may be suspended for seconds. The monotonic clock that time.Now and timers use does not
+// count that time: a lease that was renewed before the suspension would still look valid, and
+// reports of other instances recent. The times of this package include suspensions. They may only
+// be compared with each other: timers, connection deadlines and whatever else the time package acts
+// on get durations or times of time.Now.
 package clock
 
 import (
@@ -14,97 +14,99 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time. It looks each lookInterval whether the machine was suspended.
+// Now returns the current time. It checks for a suspension if the last check is older than
+// checkInterval.
 func Now() time.Time {
 	now := time.Now()
-	if now.Sub(start).Nanoseconds()-looked.Load() >= lookInterval.Nanoseconds() {
-		look()
+	if now.Sub(start).Nanoseconds()-lastCheck.Load() >= checkInterval.Nanoseconds() {
+		checkSuspension()
 	}
 	return now.Add(time.Duration(suspended.Load()))
 }
 
-// Exact returns the time and looks at once whether the machine was suspended. What may be
-// done only in a certain time, such as ordering under a lease, asks for it.
+// Exact returns the current time after an immediate check for a suspension. It is meant for actions
+// that are only permitted for a limited time, such as ordering under a lease.
 func Exact() time.Time {
-	look()
+	checkSuspension()
 	return time.Now().Add(time.Duration(suspended.Load()))
 }
 
-// Since returns the time since t, which Now or Exact returned.
+// Since returns the time elapsed since t, which Now or Exact returned.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until t, which is a duration after what Now or Exact returned.
+// Until returns the time until t, which was computed from a result of Now or Exact.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
 const (
-	// lookInterval is how old the look may be: a look takes about 0.7 us, and requests ask
-	// for the time some twenty times each.
-	lookInterval = 5 * time.Millisecond
-	// leastSuspension is the shortest time taken for one. The two clocks are not read at the
-	// same instant.
-	leastSuspension = 50 * time.Millisecond
-	// mostReading is how long reading both may take to say anything.
-	mostReading = 10 * time.Millisecond
-	// readTries is how often they are read before the look is given up.
-	readTries = 3
+	// checkInterval is the maximum age of the last check: a check takes about 0.7 us, and each
+	// request reads the time some twenty times.
+	checkInterval = 5 * time.Millisecond
+	// minSuspension is the shortest difference that counts as a suspension, since the two clocks
+	// are not read at the same instant.
+	minSuspension = 50 * time.Millisecond
+	// maxReadTime is the longest time that reading both clocks may take for the result to be used.
+	maxReadTime = 10 * time.Millisecond
+	// maxReadAttempts is how often the clocks are read before a check is abandoned.
+	maxReadAttempts = 3
 )
 
 var (
 	start = time.Now()
-	// looked is when the clocks were last read, in nanoseconds since start.
-	looked atomic.Int64
-	// suspended is for how long the machine has been suspended since start, in nanoseconds.
+	// lastCheck is when the clocks were last read, in nanoseconds since start.
+	lastCheck atomic.Int64
+	// suspended is the total time that the machine has been suspended since start, in nanoseconds.
 	suspended atomic.Int64
-	// first is by how much the clock that counts suspensions was ahead at the start, in
-	// nanoseconds.
-	first atomic.Int64
-	// ahead is the function that reads that; tests replace it.
-	ahead atomic.Pointer[func() (time.Duration, bool)]
+	// baseOffset is the offset between the two clocks at the start, in nanoseconds.
+	baseOffset atomic.Int64
+	// offsetReader is the function that reads that offset; tests replace it.
+	offsetReader atomic.Pointer[func() (time.Duration, bool)]
 )
 
-func init() { begin(readAhead) }
+func init() { reset(readOffset) }
 
-// begin has suspensions be counted from now on, as a function reads the clocks.
-func begin(read func() (time.Duration, bool)) {
+// reset counts suspensions from now on, with the given function as the reader of the clocks'
+// offset.
+func reset(read func() (time.Duration, bool)) {
 	d, _ := read()
-	first.Store(d.Nanoseconds())
+	baseOffset.Store(d.Nanoseconds())
 	suspended.Store(0)
-	ahead.Store(&read)
+	offsetReader.Store(&read)
 }
 
-// look notes whether the machine was suspended.
-func look() {
-	looked.Store(time.Since(start).Nanoseconds())
-	read := ahead.Load()
-	for range readTries {
-		now, ok := (*read)()
+// checkSuspension updates suspended from the offset between the two clocks.
+func checkSuspension() {
+	lastCheck.Store(time.Since(start).Nanoseconds())
+	reader := offsetReader.Load()
+	for range maxReadAttempts {
+		offset, ok := (*reader)()
 		if !ok {
 			continue
 		}
 		known := suspended.Load()
-		if total := now.Nanoseconds() - first.Load(); total-known >= leastSuspension.Nanoseconds() {
+		if total := offset.Nanoseconds() - baseOffset.Load(); total-known >= minSuspension.Nanoseconds() {
 			suspended.CompareAndSwap(known, total)
 		}
 		return
 	}
 }
 
-// readAhead returns by how much the clock that counts suspensions is ahead of the steady one.
-// ok is false if reading them took too long.
-func readAhead() (d time.Duration, ok bool) {
-	before, boot, after := read(unix.CLOCK_MONOTONIC), read(unix.CLOCK_BOOTTIME), read(unix.CLOCK_MONOTONIC)
-	return boot - before, after-before < mostReading
+// readOffset returns how far the clock that counts suspensions is ahead of the monotonic one. ok is
+// false if reading them took too long.
+func readOffset() (d time.Duration, ok bool) {
+	before, boot, after := readClock(unix.CLOCK_MONOTONIC), readClock(unix.CLOCK_BOOTTIME),
+		readClock(unix.CLOCK_MONOTONIC)
+	return boot - before, after-before < maxReadTime
 }
 
-func read(id int32) time.Duration {
+func readClock(id int32) time.Duration {
 	var t unix.Timespec
-	_ = unix.ClockGettime(id, &t) // these clocks are always there
+	_ = unix.ClockGettime(id, &t) // cannot fail: these clocks always exist
 	return time.Duration(t.Nano())
 }
 
-// Replace has the difference of the two clocks be read by a function, until the returned one
-// is called. It is for tests, which cannot suspend the machine.
+// Replace sets the function that reads the offset between the two clocks, until the returned
+// function is called. It is for tests, which cannot suspend the machine.
 func Replace(read func() (time.Duration, bool)) (restore func()) {
-	begin(read)
-	return func() { begin(readAhead) }
+	reset(read)
+	return func() { reset(readOffset) }
 }
