--- a/internal/deployments/deployments.go
+++ b/internal/deployments/deployments.go
@@ -1,9 +1,9 @@
-// Package deployments holds the declarations of the two users in outline, at
-// today's size, for martendev, tests and benchmarks.
+// Package deployments has outlines of the two users' declarations at their current size, for
+// martendev, tests and benchmarks.
 package deployments
 
 import (
-	_ "embed" // the declarations
+	_ "embed" // embeds the declarations
 	"fmt"
 	"strings"
 
@@ -32,12 +32,12 @@
 	case Association:
 		return association, nil
 	default:
-		return nil, errors.Newf("deployment %q is none of %s, %s", name, Pulmapilt, Association)
+		return nil, errors.Newf("unknown deployment %q, want %s or %s", name, Pulmapilt, Association)
 	}
 }
 
-// WithAddresses replaces the placeholder addresses of backend servers, given
-// by their names.
+// WithAddresses replaces the placeholder addresses of the backend servers in source by those in
+// addresses, which are keyed by the servers' names.
 func WithAddresses(source []byte, d *declaration.Declaration, addresses map[string]string) []byte {
 	text := string(source)
 	for _, e := range d.Engines {
@@ -51,20 +51,23 @@
 	return []byte(text)
 }
 
-// TwoYears returns a declaration at the users' size in two years.
+// TwoYears returns a declaration of the size that the users expect in two years.
 func TwoYears() []byte {
 	var b strings.Builder
 	b.WriteString("failureDomains: [a, b, c, d]\nweightStore: {startsPerSecond: 30, streams: 40}\nengines:\n")
 	for n := range 600 {
-		fmt.Fprintf(&b, "  - {name: domain-engine-%03d, failureDomain: %c, address: \"10.120.130.%d:9000\", memory: 320GiB, fencing: true}\n", n, 'a'+n%4, n%250)
+		fmt.Fprintf(&b, "  - {name: domain-engine-%03d, failureDomain: %c, address: \"10.120.130.%d:9000\", memory: 320GiB, fencing: true}\n",
+			n, 'a'+n%4, n%250)
 	}
 	b.WriteString("models:\n")
 	for n := range 790 {
-		fmt.Fprintf(&b, "  - {name: customer-model-%04d, version: \"2026-11-%02d\", memory: 14GiB, maxReplicas: 3, deadline: 30s}\n", n, n%28)
+		fmt.Fprintf(&b, "  - {name: customer-model-%04d, version: \"2026-11-%02d\", memory: 14GiB, maxReplicas: 3, deadline: 30s}\n",
+			n, n%28)
 	}
 	b.WriteString("adapters:\n")
 	for n := range 1600 {
-		fmt.Fprintf(&b, "  - {name: customer-adapter-%04d, model: customer-model-%04d, version: \"2026-11-%02d\", memory: 256MiB}\n", n, n%790, n%28)
+		fmt.Fprintf(&b, "  - {name: customer-adapter-%04d, model: customer-model-%04d, version: \"2026-11-%02d\", memory: 256MiB}\n",
+			n, n%790, n%28)
 	}
 	return []byte(b.String())
 }
