--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time under a context, or for a word.
+// Package pause waits for a duration under a context, or until a signal on a channel.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d and reports whether it passed before ctx ended.
+// For waits for d. It returns true if d elapsed before ctx ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -21,26 +21,25 @@
 	}
 }
 
-// Until waits for d or until something comes from woken, and reports whether that was
-// before ctx ended.
-func Until(ctx context.Context, d time.Duration, woken <-chan struct{}) bool {
+// Until waits until d has elapsed or wake receives a value. It returns false if ctx ended first.
+func Until(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-woken:
+	case <-wake:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Wake has whoever waits for something from woken, which holds one item, go on. It does not
-// wait itself: where nobody waits the word stays, and several become one.
-func Wake(woken chan<- struct{}) {
+// Wake signals the receiver of wake, a channel with a buffer of one. It does not block: without a
+// waiting receiver the signal stays in the buffer, and several signals become one.
+func Wake(wake chan<- struct{}) {
 	select {
-	case woken <- struct{}{}:
+	case wake <- struct{}{}:
 	default:
 	}
 }
