--- a/internal/rpcpool/rpcpool.go
+++ b/internal/rpcpool/rpcpool.go
@@ -14,22 +14,22 @@
 	"github.com/martenport/martenport/internal/tcpdial"
 )
 
-// ErrUnreachable: no answer came; the call may have been carried out.
+// ErrUnreachable means that no response arrived; the call may have been carried out.
 var ErrUnreachable = errors.New("rpc: no answer")
 
-// Dial connects to an address.
+// Dial opens a connection to an address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// silence is how long an instance may leave what was sent unacknowledged: many
-// round trips, with room for one lost packet (1 s).
-const silence = 1200 * time.Millisecond
+// unackedTimeout is how long an instance may leave sent data unacknowledged: many round trips, with
+// room for one lost packet (1 s).
+const unackedTimeout = 1200 * time.Millisecond
 
-// DialTCP is the Dial used outside tests.
+// DialTCP is the Dial that is used outside of tests.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
-	return tcpdial.Params{Silence: silence}.Dial(ctx, "tcp", address)
+	return tcpdial.Params{Silence: unackedTimeout}.Dial(ctx, "tcp", address)
 }
 
-// Pool is a set of connections, safe for concurrent use.
+// Pool is a set of connections. It is safe for concurrent use.
 type Pool struct {
 	dial Dial
 
@@ -40,28 +40,28 @@
 // client is one connection.
 type client struct {
 	*rpc.Client
-	// heard counts the reads that brought something.
-	heard *atomic.Int64
+	// reads counts the reads that returned data.
+	reads *atomic.Int64
 }
 
-// countingConn counts the reads that bring something.
+// countingConn counts the reads that return data.
 type countingConn struct {
 	net.Conn
-	heard *atomic.Int64
+	reads *atomic.Int64
 }
 
 // Read implements net.Conn.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.heard.Add(1)
+		c.reads.Add(1)
 	}
 	return n, err
 }
 
 func newClient(raw net.Conn) *client {
-	heard := &atomic.Int64{}
-	return &client{Client: rpc.NewClient(countingConn{Conn: raw, heard: heard}), heard: heard}
+	reads := &atomic.Int64{}
+	return &client{Client: rpc.NewClient(countingConn{Conn: raw, reads: reads}), reads: reads}
 }
 
 // New returns an empty pool.
@@ -69,22 +69,21 @@
 	return &Pool{dial: dial, conns: map[string]*client{}}
 }
 
-// Call makes one call and waits for its answer until ctx ends. reply must not
-// be used after an error: a late answer may still be written to it. If a call
-// passes its deadline and nothing at all has come on the connection meanwhile, the
-// connection is closed: it may have fallen silent for good, while a new one would
-// work.
+// Call makes one call and waits for its response until ctx ends. reply must not be used after an
+// error, since a late response may still be written to it. If the call exceeds its deadline and no
+// data at all has arrived on the connection meanwhile, the connection is closed: it may be dead,
+// while a new one would work.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
 	conn, err := p.conn(ctx, address)
 	if err != nil {
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
-	before := conn.heard.Load()
+	readsBefore := conn.reads.Load()
 	pending := conn.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-pending.Done:
 	case <-ctx.Done():
-		if errors.Is(ctx.Err(), context.DeadlineExceeded) && conn.heard.Load() == before {
+		if errors.Is(ctx.Err(), context.DeadlineExceeded) && conn.reads.Load() == readsBefore {
 			p.drop(address, conn)
 		}
 		return errors.Wrap(ErrUnreachable, ctx.Err().Error())
@@ -127,8 +126,8 @@
 	_ = conn.Close()
 }
 
-// Disconnect closes the connection to an address that does not answer, so that
-// the next call opens a new one.
+// Disconnect closes the connection to an address that does not respond, so that the next call opens
+// a new one.
 func (p *Pool) Disconnect(address string) {
 	p.mu.Lock()
 	conn, found := p.conns[address]
