--- a/internal/tcpdial/tcpdial.go
+++ b/internal/tcpdial/tcpdial.go
@@ -1,7 +1,6 @@
-// Package tcpdial opens TCP connections that notice when the peer has fallen
-// silent: a partition, a machine without power, or a connection that some box on
-// the way has forgotten answers with nothing at all, and without limits of its own
-// a connection waits for minutes.
+// Package tcpdial opens TCP connections that detect an unresponsive peer. In a partition, if the
+// peer's machine loses power, or if a middlebox has dropped the connection's state, no packets
+// arrive at all, and with the kernel's defaults a connection waits for minutes.
 package tcpdial
 
 import (
@@ -14,25 +13,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Params set what a connection puts up with.
+// Params configure connections.
 type Params struct {
 	// Connect bounds the opening of a connection.
 	Connect time.Duration
-	// Silence is how long the peer may leave what was sent, or a probe,
-	// unacknowledged before the connection is given up. It is several round trips,
-	// with room for a lost packet. 0 sets no limit.
+	// Silence is how long the peer may leave sent data or a keep-alive probe unacknowledged before
+	// the connection is closed: several round trips, with room for a lost packet. 0 sets no limit.
 	Silence time.Duration
-	// ResetOnClose has Close reset the connection, so that bytes that are still
-	// under way are dropped rather than delivered later.
+	// ResetOnClose makes Close reset the connection, so that bytes in transit are dropped rather
+	// than delivered later.
 	ResetOnClose bool
 }
 
-// probeInterval is how long a connection is quiet before the peer is probed, and
-// the pause between probes: the shortest that the kernel knows.
+// probeInterval is how long a connection is idle before the peer is probed, and the interval
+// between probes. It is the shortest that the kernel supports.
 const probeInterval = time.Second
 
-// probeCount is the kernel's own limit on probes without an answer; Silence
-// decides first.
+// probeCount is the kernel's own limit on unanswered probes; Silence takes effect first.
 const probeCount = 3
 
 // Dial connects to a TCP address.
@@ -55,11 +52,11 @@
 	return conn, nil
 }
 
-// control sets the limit on silence before the connection is opened.
+// control sets the limit on unacknowledged data before the connection is opened.
 func (p Params) control(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.Silence.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.Silence.Milliseconds()))
 	})
-	return errors.Wrap(errors.CombineErrors(err, failed), "tcpdial: limit on silence")
+	return errors.Wrap(errors.CombineErrors(err, sockoptErr), "tcpdial: limit on silence")
 }
--- a/internal/tcpdial/tcpdial_test.go
+++ b/internal/tcpdial/tcpdial_test.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestLimits: the kernel has the limits that were asked for, which is what a
-// silent peer meets; there is no silent peer on loopback.
-func TestLimits(t *testing.T) {
+// TestSocketOptions checks that the configured limits are set in the kernel, which applies them to
+// an unresponsive peer. An unresponsive peer itself cannot be simulated on loopback.
+func TestSocketOptions(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -23,16 +23,16 @@
 	}
 	defer conn.Close()
 	for name, want := range map[int]int{unix.TCP_USER_TIMEOUT: 1500, unix.TCP_KEEPIDLE: 1, unix.TCP_KEEPINTVL: 1} {
-		if got := option(t, conn, unix.IPPROTO_TCP, name); got != want {
+		if got := socketOption(t, conn, unix.IPPROTO_TCP, name); got != want {
 			t.Errorf("option %d is %d, want %d", name, got, want)
 		}
 	}
-	if got := option(t, conn, unix.SOL_SOCKET, unix.SO_KEEPALIVE); got == 0 {
-		t.Error("the peer is not probed")
+	if got := socketOption(t, conn, unix.SOL_SOCKET, unix.SO_KEEPALIVE); got == 0 {
+		t.Error("keep-alive probes are disabled")
 	}
 }
 
-func option(t *testing.T, conn net.Conn, level, name int) (value int) {
+func socketOption(t *testing.T, conn net.Conn, level, name int) (value int) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -47,8 +47,8 @@
 	return value
 }
 
-// TestResetOnClose: closing resets, so that the peer does not take what it got for
-// a whole message.
+// TestResetOnClose checks that closing resets the connection, so that the peer does not mistake the
+// bytes it received for a complete message.
 func TestResetOnClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
