--- a/cmd/martenctl/client.go
+++ b/cmd/martenctl/client.go
@@ -18,7 +18,7 @@
 	"github.com/martenport/martenport/internal/cli"
 )
 
-// client returns the operators' interface of the chosen server.
+// client returns a client of the operators' API at the server in the options.
 func (o *options) client() martenportv1connect.OperatorServiceClient {
 	return martenportv1connect.NewOperatorServiceClient(http.DefaultClient, o.Server, connect.WithInterceptors(o.authorize()))
 }
@@ -34,7 +34,7 @@
 	}
 }
 
-// context returns the context of one call.
+// context returns a context for one call, with the timeout in the options.
 func (o *options) context() (context.Context, context.CancelFunc, error) {
 	timeout, err := time.ParseDuration(o.Timeout)
 	if err != nil || timeout <= 0 {
@@ -44,7 +44,7 @@
 	return ctx, cancel, nil
 }
 
-// call makes one call and marks a refusal by the fleet with its exit code.
+// call makes one call. If the fleet refuses it, the returned error has the exit code for that.
 func call[Req, Res any](o *options, method func(context.Context, *connect.Request[Req]) (*connect.Response[Res], error), req *Req) (*Res, error) {
 	ctx, cancel, err := o.context()
 	if err != nil {
@@ -53,12 +53,12 @@
 	defer cancel()
 	resp, err := method(ctx, connect.NewRequest(req))
 	if err != nil {
-		return nil, describe(err)
+		return nil, refusalError(err)
 	}
 	return resp.Msg, nil
 }
 
-func describe(err error) error {
+func refusalError(err error) error {
 	var protocol *connect.Error
 	if !errors.As(err, &protocol) {
 		return err
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	// protojson varies its spaces on purpose; scripts are given a fixed form.
+	// protojson deliberately varies its whitespace; encoding/json gives scripts a stable output.
 	var value any
 	if err := json.Unmarshal(encoded, &value); err != nil {
 		return err
--- a/cmd/martenctl/explain.go
+++ b/cmd/martenctl/explain.go
@@ -14,8 +14,8 @@
 	"github.com/martenport/martenport/query/explain"
 )
 
-// explainCommand prints what the logs of entry instances say of one request or, if
-// only logs are named, how all requests ended and what they waited for.
+// explainCommand prints the lines in the logs of entry instances that explain one request or, if
+// only logs are named, the outcomes of all requests and what they waited for.
 type explainCommand struct {
 	shared *options
 	Args   struct {
@@ -56,12 +56,12 @@
 		if err != nil {
 			return nil, cli.Usage(errors.Wrap(err, "log"))
 		}
-		read, err := explain.ParseLog(file, strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)))
+		parsed, err := explain.ParseLog(file, strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)))
 		_ = file.Close()
 		if err != nil {
 			return nil, err
 		}
-		lines = append(lines, read...)
+		lines = append(lines, parsed...)
 	}
 	return lines, nil
 }
--- a/cmd/martenctl/main.go
+++ b/cmd/martenctl/main.go
@@ -1,4 +1,4 @@
-// Command martenctl is the operators' tool. Each subcommand has a file.
+// Command martenctl is the command-line tool for operators. Each subcommand is in its own file.
 package main
 
 import (
--- a/cmd/martenctl/quarantine.go
+++ b/cmd/martenctl/quarantine.go
@@ -17,16 +17,16 @@
 
 // Execute implements flags.Commander.
 func (c *quarantineCommand) Execute([]string) error {
-	held, err := call(c.shared, c.shared.client().ListQuarantine, &martenportv1.ListQuarantineRequest{})
+	list, err := call(c.shared, c.shared.client().ListQuarantine, &martenportv1.ListQuarantineRequest{})
 	if err != nil {
 		return err
 	}
 	if c.shared.Output == "json" {
-		return printJSON(held)
+		return printJSON(list)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FINGERPRINT\tSTATE\tAGE\tSERVERS THAT ENDED\tREQUEST")
-	for _, r := range held.Requests {
+	for _, r := range list.Requests {
 		age := (time.Duration(r.AgeMs) * time.Millisecond).Round(time.Second)
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", r.Fingerprint, r.State, age, strings.Join(r.Servers, ","), r.Subject)
 	}
--- a/cmd/martenctl/status.go
+++ b/cmd/martenctl/status.go
@@ -22,7 +22,7 @@
 	if c.shared.Output == "json" {
 		return printJSON(s)
 	}
-	r := s.GetRequests() // an instance may tell none
+	r := s.GetRequests() // may be nil
 	fmt.Printf("instance=%s domain=%s generation=%d draining=%t platform=%t\n", s.Instance, s.FailureDomain, s.Generation, s.Draining, s.PlatformReachable)
 	fmt.Printf("requests accepted=%d answered=%d refused=%d failed=%d cancelled=%d running=%d\n\n", r.GetAccepted(), r.GetAnswered(), r.GetRefused(), r.GetFailed(), r.GetCancelled(), r.GetRunning())
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -43,13 +43,14 @@
 	fmt.Fprintln(w, "\nENGINE\tDOMAIN\tORDERER\tEPOCH\tMEMORY\tQUEUE\tLEAVING\tTAKES\tRESIDENT\tLOADING\tDOUBTFUL")
 	for _, e := range s.Engines {
 		memory := humanize.IBytes(uint64(e.UsedBytes)) + "/" + humanize.IBytes(uint64(e.MemoryBytes))
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%t\t%s\t%s\t%s\t%s\n", e.Name, e.FailureDomain, e.Orderer, e.Epoch, memory, e.Queue, e.Leaving, takes(e),
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%t\t%s\t%s\t%s\t%s\n", e.Name, e.FailureDomain, e.Orderer, e.Epoch, memory, e.Queue, e.Leaving, acceptedRate(e),
 			strings.Join(e.Resident, ","), strings.Join(e.Loading, ","), strings.Join(e.Doubtful, ","))
 	}
 }
 
-// takes says what an engine takes by its own word: what comes, unless it has said less.
-func takes(e *martenportv1.EngineStatus) string {
+// acceptedRate describes the load that an engine accepts according to its advisories: all requests
+// unless it has set a limit or asked for a pause.
+func acceptedRate(e *martenportv1.EngineStatus) string {
 	switch {
 	case e.RestingSeconds > 0:
 		return fmt.Sprintf("nothing for %.1f s", e.RestingSeconds)
--- a/cmd/martenctl/timeline_html.go
+++ b/cmd/martenctl/timeline_html.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	_ "embed" // the page
+	_ "embed" // embeds the template
 	"html/template"
 	"io"
 	"slices"
@@ -19,7 +19,7 @@
 	Time, Process, Kind, Subject, Detail, Class string
 }
 
-// writeTimelineHTML writes the events as a page with one lane a process.
+// writeTimelineHTML writes the events as an HTML page with one lane per process.
 func writeTimelineHTML(w io.Writer, t *martenportv1.TimelineResponse) error {
 	page, err := template.New("timeline").Parse(timelinePage)
 	if err != nil {
@@ -44,7 +44,8 @@
 	}{rows, processes, t.Unreachable})
 }
 
-// eventClass groups kinds by what a reader looks for.
+// eventClass returns the CSS class for events of a kind: failures, decisions and recoveries are
+// highlighted.
 func eventClass(kind string) string {
 	switch kind {
 	case "request_refuse", "request_fail", "attempt_fail", "load_fail", "superseded", "peer_lost", "platform_down", "engine_restarted":
--- a/cmd/martenctl/timeline_test.go
+++ b/cmd/martenctl/timeline_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, want := range []string{"<th>a</th><th>b</th>", "2 events", "Not reached: c", `class="event bad"`, "&lt;script&gt;"} {
 		if !strings.Contains(page.String(), want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 }
--- a/cmd/martendev/entries.go
+++ b/cmd/martendev/entries.go
@@ -19,29 +19,29 @@
 	"github.com/martenport/martenport/platform"
 )
 
-// entriesCommand runs what runs on the users' platform, on stand-ins, in one
-// process: entry instances, a store, engines and a plain service.
+// entriesCommand runs, in one process, entry instances as on the users' platform, with stand-ins
+// for the store, the engines and a plain service.
 type entriesCommand struct {
 	Instances int    `long:"instances" default:"3" description:"entry instances, each in a failure domain of its own; 9 at most"`
 	Engines   int    `long:"engines" default:"4" description:"model engines"`
 	LogLevel  string `long:"log-level" default:"warning" description:"debug, info, warning or error"`
 }
 
-// Addresses and sizes of the embedded entry instances. Each instance has an
-// address of its own, as its machine would.
+// Addresses and sizes of the embedded deployment. Each instance has its own address, as its own
+// machine would.
 const (
-	entriesStore     = "127.0.7.1:7000"
-	entriesServers   = "127.0.7.2"
-	entriesClients   = "8100"
-	entriesReady     = "8101"
-	entriesFirstIP   = 10
-	entriesOperators = 7390
-	entriesHost      = "models.example"
-	entriesModels    = 8
-	maxEntries       = 9
-	entryHeartbeat   = 500 * time.Millisecond
-	loadTime         = time.Second
-	// galleryKey is the key of a workspace that has a limit.
+	entriesStoreAddress  = "127.0.7.1:7000"
+	entriesServerIP      = "127.0.7.2"
+	entriesClientPort    = "8100"
+	entriesReadyPort     = "8101"
+	entriesFirstHost     = 10
+	entriesOperatorsPort = 7390
+	entriesRouteHost     = "models.example"
+	entriesModels        = 8
+	maxEntries           = 9
+	entryHeartbeat       = 500 * time.Millisecond
+	loadTime             = time.Second
+	// galleryKey is the API key of a workspace with a limit.
 	galleryKey = "gallery-key"
 )
 
@@ -52,15 +52,15 @@
 	}
 	ctx, stop := cli.UntilSignal()
 	defer stop()
-	var running sync.WaitGroup
-	defer running.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	store := standin.NewPlatform()
-	l, err := net.Listen("tcp", entriesStore)
+	l, err := net.Listen("tcp", entriesStoreAddress)
 	if err != nil {
 		return err
 	}
 	storeServer := &http.Server{Handler: store.Handler(), ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = storeServer.Serve(l) }() // ends with the process
+	go func() { _ = storeServer.Serve(l) }() // runs until the process exits
 	if err := c.config().Write(ctx, store); err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 	}
 	defer os.RemoveAll(dir)
 	for i := range c.Instances {
-		if err := c.startInstance(ctx, i, dir, &running); err != nil {
+		if err := c.startInstance(ctx, i, dir, &wg); err != nil {
 			return err
 		}
 	}
@@ -95,7 +95,7 @@
 func (c *entriesCommand) config() standin.Config {
 	route := func(name, service string, kind standin.RouteKind) standin.Route {
 		return standin.Route{
-			Name: name, Host: entriesHost, Service: service, Kind: kind, Timeout: 20 * time.Second, Objective: 2 * time.Second, Attempts: 2,
+			Name: name, Host: entriesRouteHost, Service: service, Kind: kind, Timeout: 20 * time.Second, Objective: 2 * time.Second, Attempts: 2,
 			Resumable: kind == standin.StreamRoute, Public: kind == standin.SafeRoute,
 		}
 	}
@@ -111,7 +111,7 @@
 	}
 }
 
-// startServers starts engines that hold two models each, and a plain service.
+// startServers starts the engines, each with two loaded models, and a plain service.
 func (c *entriesCommand) startServers(ctx context.Context, store *standin.Platform) error {
 	params := []standin.ServerParams{{ID: "notices-1", Service: "notices", FailureDomain: "a", Work: 5 * time.Millisecond}}
 	for i := range c.Engines {
@@ -122,7 +122,7 @@
 		})
 	}
 	for _, p := range params {
-		s, err := standin.NewServer(entriesServers, p)
+		s, err := standin.NewServer(entriesServerIP, p)
 		if err != nil {
 			return err
 		}
@@ -133,13 +133,14 @@
 
 func domain(i int) string { return string(rune('a' + i)) }
 
-func entryIP(i int) string { return fmt.Sprintf("127.0.7.%d", entriesFirstIP+i) }
+func entryIP(i int) string { return fmt.Sprintf("127.0.7.%d", entriesFirstHost+i) }
 
-// startInstance runs an instance with a settings file as the platform writes it.
-func (c *entriesCommand) startInstance(ctx context.Context, i int, dir string, running *sync.WaitGroup) error {
+// startInstance starts an instance with a settings file in the platform's format. wg counts the
+// running instances.
+func (c *entriesCommand) startInstance(ctx context.Context, i int, dir string, wg *sync.WaitGroup) error {
 	s := platform.Settings{NodeName: fmt.Sprintf("entry-%d", i+1), IP: entryIP(i), Zone: domain(i), InternalPorts: []int{7380, 7395}}
-	s.Listen.Frontend, s.Listen.Ready = net.JoinHostPort(s.IP, entriesClients), net.JoinHostPort(s.IP, entriesReady)
-	s.Platform.Address = entriesStore
+	s.Listen.Frontend, s.Listen.Ready = net.JoinHostPort(s.IP, entriesClientPort), net.JoinHostPort(s.IP, entriesReadyPort)
+	s.Platform.Address = entriesStoreAddress
 	s.Bounds = platform.Bounds{
 		DrainMS: 2000, GraceS: 8, LeaseMS: 3000, BudgetRatio: 0.2, BudgetWindowS: 10, BudgetExtra: 50, CeilingWindowS: 5,
 		RevokeFailClosed: true, RevokeMS: 5000, QuotaWindowS: 8, QuotaOverage: 0.1, QuotaSlack: 2000,
@@ -159,25 +160,25 @@
 	if err != nil {
 		return cli.Usage(err)
 	}
-	instance := entry.New(s, path, entry.Options{OperatorsPort: entriesOperators}, log)
-	running.Go(func() {
+	instance := entry.New(s, path, entry.Options{OperatorsPort: entriesOperatorsPort}, log)
+	wg.Go(func() {
 		if err := instance.Run(ctx); err != nil {
-			log.WithField("error", err).Error("instance ended")
+			log.WithField("error", err).Error("instance stopped with an error")
 		}
 	})
 	return nil
 }
 
 func (c *entriesCommand) describe() {
-	fmt.Printf("%d entry instances, clients at %s:%s and on, operators at port %d of the same\n", c.Instances, entryIP(0), entriesClients, entriesOperators)
+	fmt.Printf("%d entry instances, clients at %s:%s and on, operators at port %d of the same\n", c.Instances, entryIP(0), entriesClientPort, entriesOperatorsPort)
 	fmt.Printf("models %s to %s, two fit on an engine; try (the last one is cold):\n", modelName(0), modelName(entriesModels-1))
-	fmt.Printf("  curl -si -H 'Host: %s'", entriesHost)
+	fmt.Printf("  curl -si -H 'Host: %s'", entriesRouteHost)
 	header := standin.ClientHeader("1", modelName(entriesModels-1), 0)
 	header.Set(standin.KeyHeader, galleryKey)
 	for name, values := range header {
 		fmt.Printf(" -H '%s: %s'", name, values[0])
 	}
-	fmt.Printf(" -d prompt http://%s:%s/generate/x\n", entryIP(0), entriesClients)
-	fmt.Printf("  go run ./cmd/martenctl --server http://%s:%d status\n", entryIP(0), entriesOperators)
-	fmt.Printf("  go run ./cmd/martenctl --server http://%s:%d workspaces\n", entryIP(0), entriesOperators)
+	fmt.Printf(" -d prompt http://%s:%s/generate/x\n", entryIP(0), entriesClientPort)
+	fmt.Printf("  go run ./cmd/martenctl --server http://%s:%d status\n", entryIP(0), entriesOperatorsPort)
+	fmt.Printf("  go run ./cmd/martenctl --server http://%s:%d workspaces\n", entryIP(0), entriesOperatorsPort)
 }
--- a/cmd/martendev/fleet.go
+++ b/cmd/martendev/fleet.go
@@ -32,10 +32,10 @@
 	Verbose    bool    `long:"verbose" description:"log every event"`
 }
 
-// instancesPerDomain is how many instances run in each failure domain.
+// instancesPerDomain is the number of instances in each failure domain.
 const instancesPerDomain = 2
 
-// fleet is a whole deployment in one process, over real loopback sockets.
+// fleet is a complete deployment in one process that communicates over loopback sockets.
 type fleet struct {
 	declared  *declaration.Declaration
 	platform  *standin.Platform
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// start runs everything and declares source.
+// start starts the fleet, declares source and waits until every engine has an orderer.
 func (o *fleetOptions) start(ctx context.Context, source []byte) (*fleet, error) {
 	declared, err := declaration.Parse(o.Deployment, source)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return l.Addr().String(), nil
 }
 
-// The pace of the stand-in engines and services.
+// Speeds of the stand-in engines and services.
 const (
 	stepTime    = 2 * time.Millisecond
 	maxBatch    = 32
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// defaults returns the settings as they are without flags.
+// defaults returns the settings without any flags.
 func defaults() (settings.Settings, error) {
 	var s settings.Settings
 	err := cli.Parse(&s, nil)
@@ -194,19 +194,19 @@
 	return err
 }
 
-// startLimit bounds the wait for the fleet to be ready.
-const startLimit = 30 * time.Second
+// startTimeout bounds the wait for every engine to have an orderer.
+const startTimeout = 30 * time.Second
 
 // awaitOrderers waits until every instance knows an orderer for every engine.
 func (f *fleet) awaitOrderers(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, d := range f.instances {
 		for !f.knowsOrderers(ctx, d) {
 			select {
 			case <-time.After(50 * time.Millisecond):
 			case <-ctx.Done():
-				return errors.Newf("engines have no orderers after %v", startLimit)
+				return errors.Newf("engines have no orderers after %v", startTimeout)
 			}
 		}
 	}
@@ -218,13 +218,13 @@
 	if err != nil {
 		return false
 	}
-	n := 0
+	ordered := 0
 	for _, e := range status.Msg.Engines {
 		if e.Orderer != "" {
-			n++
+			ordered++
 		}
 	}
-	return n == len(f.declared.Engines)
+	return ordered == len(f.declared.Engines)
 }
 
 func (f *fleet) describe(w io.Writer) {
--- a/cmd/martendev/main.go
+++ b/cmd/martendev/main.go
@@ -1,6 +1,6 @@
-// Command martendev runs stand-ins for development: one of them as a process
-// of its own (platform, engine, service), or, without a role, a whole small
-// fleet in one process.
+// Command martendev runs stand-ins for development: a single one as its own process (platform,
+// engine, server, service), the entry instances with their stand-ins, or, without a subcommand, a
+// small complete fleet in one process.
 package main
 
 import (
--- a/cmd/martendev/once.go
+++ b/cmd/martendev/once.go
@@ -16,14 +16,14 @@
 	"github.com/martenport/martenport/api/martenport/v1/martenportv1connect"
 )
 
-// The burst of --once.
+// Size of the burst that --once sends.
 const (
 	burstModels   = 10
 	burstRequests = 4 // for each model at each instance
 	burstTokens   = 8
 )
 
-// burst collects what became of the requests.
+// burst counts the outcomes of the requests.
 type burst struct {
 	mu                                 sync.Mutex
 	requests, answered, refused, wrong int             // guarded by mu
@@ -31,23 +31,23 @@
 	cold                               []time.Duration // guarded by mu
 }
 
-// once sends the burst, prints one line and fails if a promise broke.
+// once sends the burst, prints one line and returns an error if a guarantee was violated.
 func (f *fleet) once(ctx context.Context, w io.Writer) error {
-	watch := f.watchReplicas()
+	stopWatching := f.watchReplicas()
 	b := &burst{}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, m := range f.declared.Models[:burstModels] {
 		for _, d := range f.instances {
 			client := martenportv1connect.NewInferenceServiceClient(http.DefaultClient, "http://"+d.CallerAddress())
 			for i := range burstRequests {
 				prompt := fmt.Sprintf("%s/%s/%d", m.Name, d.CallerAddress(), i)
-				all.Go(func() { b.send(ctx, client, m.Name, prompt) })
+				wg.Go(func() { b.send(ctx, client, m.Name, prompt) })
 			}
 		}
 	}
-	all.Wait()
-	over := watch()
-	return b.summary(w, f.loadOrders(), over, f.overcommits())
+	wg.Wait()
+	overCap := stopWatching()
+	return b.summary(w, f.loadOrders(), overCap, f.overcommits())
 }
 
 func (b *burst) send(ctx context.Context, client martenportv1connect.InferenceServiceClient, model, prompt string) {
@@ -55,18 +55,18 @@
 	answer, err := client.Generate(ctx, connect.NewRequest(&martenportv1.GenerateRequest{
 		Model: model, Prompt: prompt, MaxTokens: burstTokens, Idempotent: true,
 	}))
-	took := time.Since(start)
+	elapsed := time.Since(start)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests++
 	switch {
 	case err == nil:
 		b.answered++
-		if answer.Msg.Text != wantText(prompt) {
+		if answer.Msg.Text != expectedText(prompt) {
 			b.wrong++
 		}
 		if answer.Msg.Cold {
-			b.cold = append(b.cold, took)
+			b.cold = append(b.cold, elapsed)
 		}
 	case verdictOf(err) == martenportv1.Verdict_VERDICT_NOT_RUN:
 		b.refused++
@@ -75,8 +75,8 @@
 	}
 }
 
-// wantText is the stand-in engines' whole answer to a prompt.
-func wantText(prompt string) string {
+// expectedText returns the complete response of a stand-in engine to a prompt.
+func expectedText(prompt string) string {
 	text := ""
 	for i := range burstTokens {
 		text += fmt.Sprintf("%s:%d ", prompt, i)
@@ -99,18 +99,18 @@
 	return martenportv1.Verdict_VERDICT_UNSPECIFIED
 }
 
-// watchReplicas counts replicas until the returned function is called, which
-// returns the largest number over a model's cap that was seen, 0 if none was.
+// watchReplicas counts replicas until the returned function is called. That function returns the
+// highest number of replicas over a model's cap that was observed, 0 if no cap was exceeded.
 func (f *fleet) watchReplicas() func() int {
 	stop, done := make(chan struct{}), make(chan int)
 	go func() {
-		worst := 0
+		highest := 0
 		for {
-			worst = max(worst, f.overCap())
+			highest = max(highest, f.overCap())
 			select {
 			case <-time.After(time.Millisecond):
 			case <-stop:
-				done <- max(worst, f.overCap())
+				done <- max(highest, f.overCap())
 				return
 			}
 		}
@@ -128,11 +128,11 @@
 			replicas[m]++
 		}
 	}
-	worst := 0
+	highest := 0
 	for _, m := range f.declared.Models {
-		worst = max(worst, replicas[m.Name]-m.MaxReplicas)
+		highest = max(highest, replicas[m.Name]-m.MaxReplicas)
 	}
-	return worst
+	return highest
 }
 
 func (f *fleet) loadOrders() int {
@@ -151,12 +151,12 @@
 	return n
 }
 
-func (b *burst) summary(w io.Writer, loads, over, overcommits int) error {
+func (b *burst) summary(w io.Writer, loads, overCap, overcommits int) error {
 	slices.Sort(b.cold)
 	fmt.Fprintf(w, "requests=%d answered=%d refused=%d failed=%d load_orders=%d replicas_over_cap=%d memory_overcommits=%d wrong_answers=%d cold_p50_ms=%d cold_p99_ms=%d\n",
-		b.requests, b.answered, b.refused, b.failed, loads, over, overcommits, b.wrong,
+		b.requests, b.answered, b.refused, b.failed, loads, overCap, overcommits, b.wrong,
 		quantile(b.cold, 0.50).Milliseconds(), quantile(b.cold, 0.99).Milliseconds())
-	if over > 0 || overcommits > 0 || b.wrong > 0 || b.failed > 0 || b.answered+b.refused != b.requests {
+	if overCap > 0 || overcommits > 0 || b.wrong > 0 || b.failed > 0 || b.answered+b.refused != b.requests {
 		return errors.New("a promise was broken, see the line above")
 	}
 	return nil
--- a/cmd/martendev/roles.go
+++ b/cmd/martendev/roles.go
@@ -17,7 +17,7 @@
 	"github.com/martenport/martenport/platform"
 )
 
-// serve answers on address until a signal comes, and prints the address.
+// serve prints its address and serves HTTP on it until SIGINT or SIGTERM.
 func serve(address string, handler http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -125,7 +125,7 @@
 	return c.writeState(s.State())
 }
 
-// writeState leaves what a server has seen that a request has ended.
+// writeState writes what the server has observed to the state file, if a request ended it.
 func (c *serverCommand) writeState(state standin.State) error {
 	if c.State == "" || state.EndedBy == "" {
 		return nil
--- a/cmd/martenentryd/main.go
+++ b/cmd/martenentryd/main.go
@@ -14,7 +14,8 @@
 	"github.com/martenport/martenport/platform"
 )
 
-// options of the command line; what the platform decides is in the settings file.
+// options are the command-line flags. Settings that the platform determines are in the settings
+// file.
 type options struct {
 	Settings           string `long:"settings" description:"settings file that the platform writes; if absent, the platform's environment variable names it"`
 	OperatorsPort      int    `long:"operators-port" env:"MARTENPORT_OPERATORS_PORT" description:"port on the instance's own address where operators are answered, the same at all instances; absent, no operators' interface is offered and no number of replicas limited"`
@@ -22,16 +23,16 @@
 	LogLevel           string `long:"log-level" env:"MARTENPORT_LOG_LEVEL" default:"info" description:"debug, info, warning or error"`
 }
 
-// Lines that wait to be written, and how long an instance that ends waits for
-// the last of them.
+// logBuffer is the number of log lines that are buffered; logCloseTimeout is how long the process
+// waits for them to be written when it exits.
 const (
-	logBuffer    = 2048
-	logCloseWait = 200 * time.Millisecond
+	logBuffer       = 2048
+	logCloseTimeout = 200 * time.Millisecond
 )
 
-// memoryShare is the percentage of the process's memory that the heap may reach
-// before the collector works harder; the rest is for stacks and for bytes that
-// were received and not yet read.
+// memoryShare is the heap limit as a percentage of the process's memory limit, above which the
+// garbage collector works harder. The rest is for stacks and for bytes that were received and not
+// yet read.
 const memoryShare = 70
 
 // maxPort is the highest TCP port.
@@ -60,7 +61,7 @@
 		return cli.Usage(errors.Newf("--operators-port %d is not a port: give 1 to %d, or leave it out", o.OperatorsPort, maxPort))
 	}
 	out := boundedlog.New(os.Stdout, logBuffer)
-	defer out.Close(logCloseWait)
+	defer out.Close(logCloseTimeout)
 	log, err := cli.Log(o.LogLevel, out)
 	if err != nil {
 		return cli.Usage(err)
--- a/cmd/martensoak/main.go
+++ b/cmd/martensoak/main.go
@@ -1,5 +1,5 @@
-// Command martensoak disturbs a small fleet of real processes on loopback and
-// checks the promises from what callers and backend servers see.
+// Command martensoak injects faults into a small fleet of real processes on loopback and checks the
+// system's guarantees from the observations of clients and backend servers.
 package main
 
 import (
@@ -47,24 +47,25 @@
 	fmt.Printf("programs and logs in %s\n", o.Dir)
 	ctx, stop := cli.UntilSignal()
 	defer stop()
-	broken := 0
+	failedSeeds := 0
 	for seed := first; seed <= last && ctx.Err() == nil; seed++ {
-		breached, err := o.one(ctx, seed)
+		violated, err := o.runSeed(ctx, seed)
 		if err != nil {
 			return err
 		}
-		if breached {
-			broken++
+		if violated {
+			failedSeeds++
 		}
 	}
-	if broken > 0 {
-		return errors.Newf("%d of %d seeds with a broken promise", broken, last-first+1)
+	if failedSeeds > 0 {
+		return errors.Newf("%d of %d seeds with a broken promise", failedSeeds, last-first+1)
 	}
 	return nil
 }
 
-// one runs one seed and prints its outcome, its schedule, and what broke.
-func (o *options) one(ctx context.Context, seed uint64) (bool, error) {
+// runSeed runs one seed and prints its outcome, its faults and the violated guarantees. It reports
+// whether there were any.
+func (o *options) runSeed(ctx context.Context, seed uint64) (bool, error) {
 	result, err := soak.Run(ctx, soak.Params{Seed: seed, For: o.For, Entries: o.Entries, Engines: o.Engines, Plain: o.Plain, Dir: o.Dir})
 	if err != nil {
 		return false, errors.Wrapf(err, "seed %d", seed)
