--- a/command/backpressure/alone.go
+++ b/command/backpressure/alone.go
@@ -9,7 +9,7 @@
 	"github.com/martenport/martenport/rendezvous"
 )
 
-// Alone limits what an instance sends to rate-limited servers while no holder lends. This happens when
+// HolderlessLimiter limits what an instance sends to rate-limited servers while no holder lends. This happens when
 // a failure domain is cut off, or when the store is unavailable and a lost holder cannot be replaced;
 // rate-limited servers may then be the only ones available.
 //
@@ -21,7 +21,7 @@
 // deployment allows 6 times the rate plus 5.
 //
 // It is safe for concurrent use.
-type Alone struct {
+type HolderlessLimiter struct {
 	self string
 
 	mu sync.Mutex
@@ -32,11 +32,13 @@
 // sharerCount returns how many of the peers share a server with the given rate, in requests per second.
 func sharerCount(peers []string, rate float64) int { return min(len(peers), 2+int(rate)) }
 
-// NewAlone returns an empty Alone for the named instance.
-func NewAlone(self string) *Alone { return &Alone{self: self, buckets: map[string]*quota.Bucket{}} }
+// NewHolderlessLimiter returns an empty Alone for the named instance.
+func NewHolderlessLimiter(self string) *HolderlessLimiter {
+	return &HolderlessLimiter{self: self, buckets: map[string]*quota.Bucket{}}
+}
 
-// Lent records that a holder has lent shares.
-func (a *Alone) Lent() {
+// Reset records that a holder has lent shares.
+func (a *HolderlessLimiter) Reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	clear(a.buckets)
@@ -45,7 +47,7 @@
 // Take takes one send to a server from this instance's part of the server's rate. lent is when a holder
 // last lent shares, and peers are the instances of the server's failure domain. If the send is not
 // possible now, after is the time until it will be; 0 if this instance has no part.
-func (a *Alone) Take(server string, rate float64, peers []string, lent, now time.Time) (ok bool, after time.Duration) {
+func (a *HolderlessLimiter) Take(server string, rate float64, peers []string, lent, now time.Time) (ok bool, after time.Duration) {
 	n := sharerCount(peers, rate)
 	if !isSharer(server, a.self, peers, n) {
 		return false, 0
@@ -56,7 +58,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	share := quota.Share{Rate: LimitAt(rate).Rate / float64(n), Saved: 1}
+	share := quota.Share{Rate: LentLimit(rate).Rate / float64(n), Saved: 1}
 	bucket := a.buckets[server]
 	if bucket == nil {
 		empty := quota.NewBucket(0, begins)
--- a/command/backpressure/backpressure.go
+++ b/command/backpressure/backpressure.go
@@ -26,13 +26,13 @@
 type Limit struct {
 	Server string
 	Born   int64
-	// Named is set if the server advertises a limit of Rate requests per second. Otherwise it accepts
+	// Advertised is set if the server advertises a limit of Rate requests per second. Otherwise it accepts
 	// requests without a limit.
-	Named bool
-	Rate  float64
-	// Sent is when the request was sent whose answer had the advisory, and Heard when that answer was
+	Advertised bool
+	Rate       float64
+	// SentAt is when the request was sent whose answer had the advisory, and ReadAt when that answer was
 	// read.
-	Sent, Heard time.Time
+	SentAt, ReadAt time.Time
 }
 
 // Snapshot is a Limit as sent to other instances, with ages instead of times.
@@ -47,22 +47,22 @@
 // snapshot returns the limit as sent to other instances.
 func (l Limit) snapshot(now time.Time) Snapshot {
 	return Snapshot{
-		Server: l.Server, Born: l.Born, Named: l.Named, Rate: l.Rate,
-		SentAge: now.Sub(l.Sent), HeardAge: now.Sub(l.Heard),
+		Server: l.Server, Born: l.Born, Named: l.Advertised, Rate: l.Rate,
+		SentAge: now.Sub(l.SentAt), HeardAge: now.Sub(l.ReadAt),
 	}
 }
 
 // limit returns a received snapshot by this instance's clock.
 func (s Snapshot) limit(now time.Time) Limit {
 	return Limit{
-		Server: s.Server, Born: s.Born, Named: s.Named, Rate: s.Rate,
-		Sent: now.Add(-s.SentAge - Transit), Heard: now.Add(-s.HeardAge),
+		Server: s.Server, Born: s.Born, Advertised: s.Named, Rate: s.Rate,
+		SentAt: now.Add(-s.SentAge - Transit), ReadAt: now.Add(-s.HeardAge),
 	}
 }
 
 // limitOf returns the limit in a server's advisory.
 func limitOf(a serving.Advisory) Limit {
-	return Limit{Server: a.Server, Born: a.Born, Named: a.Limited, Rate: a.Rate, Sent: a.Sent, Heard: a.Heard}
+	return Limit{Server: a.Server, Born: a.Born, Advertised: a.Limited, Rate: a.Rate, SentAt: a.Sent, ReadAt: a.Heard}
 }
 
 // supersedes reports whether l replaces the known limit.
@@ -72,9 +72,9 @@
 		return true
 	case serving.BornBefore(l.Born, known.Born):
 		return false
-	case !l.Sent.Before(known.Heard):
+	case !l.SentAt.Before(known.ReadAt):
 		return true
-	case !known.Sent.Before(l.Heard):
+	case !known.SentAt.Before(l.ReadAt):
 		return false
 	default:
 		return l.stricter(known)
@@ -83,10 +83,10 @@
 
 // stricter reports whether l allows fewer requests than other.
 func (l Limit) stricter(other Limit) bool {
-	return l.Named && (!other.Named || l.Rate < other.Rate)
+	return l.Advertised && (!other.Advertised || l.Rate < other.Rate)
 }
 
 // equivalent reports whether two limits of the same process have the same value.
 func (l Limit) equivalent(other Limit) bool {
-	return l.Born == other.Born && l.Named == other.Named && l.Rate == other.Rate
+	return l.Born == other.Born && l.Advertised == other.Advertised && l.Rate == other.Rate
 }
--- a/command/backpressure/ledger.go
+++ b/command/backpressure/ledger.go
@@ -85,23 +85,23 @@
 // updateLimit sets the limit unless a newer one is known, and reports whether that changed anything.
 // l.mu must be held.
 func (l *Ledger) updateLimit(e *entry, limit Limit) bool {
-	if !e.known && !limit.Named {
+	if !e.known && !limit.Advertised {
 		return false
 	}
 	if e.known && e.limit.equivalent(limit) {
-		if limit.Heard.After(e.limit.Heard) {
-			e.limit.Sent, e.limit.Heard = limit.Sent, limit.Heard
+		if limit.ReadAt.After(e.limit.ReadAt) {
+			e.limit.SentAt, e.limit.ReadAt = limit.SentAt, limit.ReadAt
 		}
 		return false
 	}
 	if e.known && !limit.supersedes(e.limit) {
 		return false
 	}
-	if e.limit.Named && !limit.Named {
-		e.withdrawnAt = limit.Heard
+	if e.limit.Advertised && !limit.Advertised {
+		e.withdrawnAt = limit.ReadAt
 	}
 	e.limit, e.known = limit, true
-	if limit.Named {
+	if limit.Advertised {
 		e.lastRate = limit.Rate
 	}
 	l.markChanged(e)
@@ -112,7 +112,7 @@
 // held.
 func (l *Ledger) markChanged(e *entry) {
 	l.revision++
-	e.revision, e.lastAdvertised = l.revision, e.limit.Sent
+	e.revision, e.lastAdvertised = l.revision, e.limit.SentAt
 }
 
 // readvertiseInterval is how often other instances are informed again that a server has withdrawn its
@@ -123,7 +123,7 @@
 // withdrawn. They may have received the limit so late that they could not tell which advisory was
 // newer. l.mu must be held.
 func (l *Ledger) readvertiseWithdrawal(e *entry, limit Limit, now time.Time) {
-	if !e.known || e.limit.Named || limit.Named || limit.Sent.Sub(e.lastAdvertised) < readvertiseInterval {
+	if !e.known || e.limit.Advertised || limit.Advertised || limit.SentAt.Sub(e.lastAdvertised) < readvertiseInterval {
 		return
 	}
 	if _, ok := e.accountingRate(now); ok {
@@ -153,7 +153,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[s.ID]
-	if e == nil || !e.known || !e.limit.Named || !s.SameLife(e.limit.Born) {
+	if e == nil || !e.known || !e.limit.Advertised || !s.SameLife(e.limit.Born) {
 		return 0, false
 	}
 	return e.limit.Rate, true
@@ -164,9 +164,9 @@
 // It is longer than a limit's window.
 const accountingRetention = 10 * time.Second
 
-// Account returns the rate by which sends to the server with the given id are accounted for: that of
+// AccountingRate returns the rate by which sends to the server with the given id are accounted for: that of
 // its limit, or for accountingRetention that of a withdrawn limit. ok is false if there is none.
-func (l *Ledger) Account(id string, now time.Time) (rate float64, ok bool) {
+func (l *Ledger) AccountingRate(id string, now time.Time) (rate float64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[id]
@@ -178,7 +178,7 @@
 
 // accountingRate implements Account. The ledger's mu must be held.
 func (e *entry) accountingRate(now time.Time) (rate float64, ok bool) {
-	if !e.known || !e.limit.Named && now.Sub(e.withdrawnAt) > accountingRetention {
+	if !e.known || !e.limit.Advertised && now.Sub(e.withdrawnAt) > accountingRetention {
 		return 0, false
 	}
 	return e.lastRate, true
@@ -225,8 +225,8 @@
 	return list, l.revision
 }
 
-// Take merges snapshots of another instance, and returns the limits that changed.
-func (l *Ledger) Take(list []Snapshot, now time.Time) (changed []Limit) {
+// Merge merges snapshots of another instance, and returns the limits that changed.
+func (l *Ledger) Merge(list []Snapshot, now time.Time) (changed []Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range list {
@@ -253,7 +253,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.entries {
-		if e.known && e.limit.Named {
+		if e.known && e.limit.Advertised {
 			limited++
 		}
 		if e.retryAfter.After(now) {
@@ -268,7 +268,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	maps.DeleteFunc(l.entries, func(id string, e *entry) bool {
-		expired := now.Sub(e.limit.Heard) > entryRetention && now.Sub(e.retryAfter) > entryRetention
+		expired := now.Sub(e.limit.ReadAt) > entryRetention && now.Sub(e.retryAfter) > entryRetention
 		return expired && !known(id)
 	})
 }
--- a/command/backpressure/ledger_test.go
+++ b/command/backpressure/ledger_test.go
@@ -113,7 +113,7 @@
 			if rapid.Bool().Draw(t, "lost") {
 				return
 			}
-			ledgers[1-from].Take(list, at(now))
+			ledgers[1-from].Merge(list, at(now))
 			seen[from] = revision
 		}
 		observe(0)
@@ -135,7 +135,7 @@
 		ledgers[0].Observe(noLimitAdvisory(now-10, now), at(now))
 		list, _ := ledgers[0].Since(0, at(now))
 		now += 100
-		ledgers[1].Take(list, at(now))
+		ledgers[1].Merge(list, at(now))
 		for i, l := range ledgers {
 			if r, limited := l.Limit(server); limited {
 				t.Fatalf("instance %d still has rate %v", i, r)
@@ -152,7 +152,7 @@
 	sender.Observe(noLimitAdvisory(90, 95), at(95))
 	list, _ := sender.Since(0, at(96))
 	l.Observe(limitAdvisory(2, 195, 200), at(200))
-	l.Take(list, at(400))
+	l.Merge(list, at(400))
 	if _, limited := l.Limit(server); !limited {
 		t.Error("the limit was withdrawn by an older answer")
 	}
@@ -168,7 +168,7 @@
 	send := func(ms int) int {
 		list, current := l.Since(revision, at(ms))
 		revision = current
-		other.Take(list, at(ms))
+		other.Merge(list, at(ms))
 		return len(list)
 	}
 	l.Observe(limitAdvisory(2, 0, 5), at(5))
@@ -200,7 +200,7 @@
 	send := func(from, to, ms int) {
 		list, revision := ledgers[from].Since(seen[[2]int{from, to}], at(ms))
 		seen[[2]int{from, to}] = revision
-		ledgers[to].Take(list, at(ms))
+		ledgers[to].Merge(list, at(ms))
 	}
 	exchange := func(ms int) {
 		for _, follower := range []int{0, 2} {
@@ -234,10 +234,10 @@
 	l := NewLedger()
 	l.Observe(limitAdvisory(2, 0, 5), at(5))
 	l.Observe(noLimitAdvisory(6, 9), at(9))
-	if rate, ok := l.Account("e", at(1000)); !ok || rate != 2 {
+	if rate, ok := l.AccountingRate("e", at(1000)); !ok || rate != 2 {
 		t.Errorf("%v, %v one second after the withdrawal, want 2", rate, ok)
 	}
-	if _, ok := l.Account("e", at(20000)); ok {
+	if _, ok := l.AccountingRate("e", at(20000)); ok {
 		t.Error("the accounting does not end")
 	}
 }
--- a/command/backpressure/limits.go
+++ b/command/backpressure/limits.go
@@ -34,12 +34,12 @@
 	maxSpareDelay = 30 * time.Second
 )
 
-// SpareAgain returns the time after which an instance asks again for a spare request that was refused.
+// SpareRetryDelay returns the time after which an instance asks again for a spare request that was refused.
 // minDelay is the time from which the holder expects to have something to grant. All instances ask for
 // the same amount: if each asked at that time, a holder with 195 instances would be asked 130 times for
 // each request that a server accepts.
-func SpareAgain(rate float64, instances int, minDelay time.Duration) time.Duration {
-	interval := time.Duration(float64(instances) / (spareAsksPerGrant * LimitAt(rate).Rate) * float64(time.Second))
+func SpareRetryDelay(rate float64, instances int, minDelay time.Duration) time.Duration {
+	interval := time.Duration(float64(instances) / (spareAsksPerGrant * LentLimit(rate).Rate) * float64(time.Second))
 	return max(minDelay, min(maxSpareDelay, interval))
 }
 
@@ -48,6 +48,6 @@
 	return quota.Params{Window: window, Overage: overage, Slack: slack, Lifetime: shareLifetime}
 }
 
-// LimitAt returns the limit that is lent for a server that accepts the given number of requests per
+// LentLimit returns the limit that is lent for a server that accepts the given number of requests per
 // second.
-func LimitAt(rate float64) serving.Limit { return serving.Limit{Rate: max(minRate, rate)} }
+func LentLimit(rate float64) serving.Limit { return serving.Limit{Rate: max(minRate, rate)} }
--- a/command/backpressure/questions.go
+++ b/command/backpressure/questions.go
@@ -7,10 +7,10 @@
 	"github.com/martenport/martenport/command/quota"
 )
 
-// Questions bounds the rate at which instances query the holder for single sends. If all servers of a
+// QueryLimiter bounds the rate at which instances query the holder for single sends. If all servers of a
 // busy service are rate-limited, every request would query the holder, and a holder without processor
 // time for its other work is lost to all instances. It is safe for concurrent use.
-type Questions struct {
+type QueryLimiter struct {
 	mu      sync.Mutex
 	bucket  quota.Bucket // guarded by mu
 	started bool         // guarded by mu
@@ -28,7 +28,7 @@
 
 // Take takes one query from this instance's part of the total rate, which is divided equally among the
 // given number of instances. It reports whether the query may be sent.
-func (q *Questions) Take(instances int, now time.Time) bool {
+func (q *QueryLimiter) Take(instances int, now time.Time) bool {
 	share := quota.Share{Rate: totalQueryRate / float64(max(1, instances))}
 	share.Saved = max(minQueryBurst, share.Rate*queryBurstDuration.Seconds())
 	q.mu.Lock()
--- a/command/backpressure/simulation_test.go
+++ b/command/backpressure/simulation_test.go
@@ -18,7 +18,7 @@
 	now    time.Time
 	names  []string
 	shares []*quota.Shares
-	alone  []*Alone
+	alone  []*HolderlessLimiter
 	// lent is when the holder last lent shares to each instance.
 	lent []time.Time
 	// lender is nil while there is no holder.
@@ -34,24 +34,24 @@
 		name := fmt.Sprintf("i%d", i)
 		s.names = append(s.names, name)
 		s.shares = append(s.shares, quota.NewShares(QuotaParams().Lifetime))
-		s.alone = append(s.alone, NewAlone(name))
+		s.alone = append(s.alone, NewHolderlessLimiter(name))
 		s.lent = append(s.lent, epoch)
 	}
 	return s
 }
 
-func (s *simulation) limits(string) (serving.Limit, bool) { return LimitAt(s.rate), true }
+func (s *simulation) limits(string) (serving.Limit, bool) { return LentLimit(s.rate), true }
 
 // report has an instance report to the holder, if there is one. One report in 20 is lost.
 func (s *simulation) report(i int) {
 	uses := s.shares[i].Report(s.now)
 	if s.lender == nil || s.rand.IntN(20) == 0 {
-		s.shares[i].Unreported(uses, s.now)
+		s.shares[i].RestoreReport(uses, s.now)
 		return
 	}
 	s.shares[i].Apply(s.lender.Lend(s.names[i], uses, s.limits, s.now), s.now, s.now)
 	s.lent[i] = s.now
-	s.alone[i].Lent()
+	s.alone[i].Reset()
 }
 
 // ask has a request at an instance ask whether it may be sent. If there is a holder, after is the time
@@ -61,7 +61,7 @@
 	switch {
 	case sent:
 	case s.lender != nil:
-		answer := s.lender.AskInTurn("e", LimitAt(s.rate), turn, s.now)
+		answer := s.lender.GrantInTurn("e", LentLimit(s.rate), turn, s.now)
 		sent, after = answer.Granted, answer.After
 	default:
 		sent, after = s.alone[i].Take("e", s.rate, s.names, s.lent[i], s.now)
@@ -107,9 +107,9 @@
 				sim.lender = nil
 			case 1, 2, 3:
 				sim.lender = quota.NewLender(QuotaParams(), false, nil, sim.now)
-				sim.lender.Expect(sim.names)
+				sim.lender.ExpectReports(sim.names)
 			case 4: // the instance restarts
-				sim.shares[i], sim.alone[i], sim.lent[i] = quota.NewShares(QuotaParams().Lifetime), NewAlone(sim.names[i]), sim.now
+				sim.shares[i], sim.alone[i], sim.lent[i] = quota.NewShares(QuotaParams().Lifetime), NewHolderlessLimiter(sim.names[i]), sim.now
 			}
 			sim.now = sim.now.Add(step)
 		}
@@ -183,8 +183,8 @@
 func TestSpareQueryRate(t *testing.T) {
 	for _, instances := range []int{1, 7, 71, 330} {
 		for _, rate := range []float64{0, 1.5, 20} {
-			asks := float64(instances) / SpareAgain(rate, instances, 100*time.Millisecond).Seconds()
-			if limit := max(spareAsksPerGrant*LimitAt(rate).Rate, float64(instances)/maxSpareDelay.Seconds()); asks > 1.001*limit {
+			asks := float64(instances) / SpareRetryDelay(rate, instances, 100*time.Millisecond).Seconds()
+			if limit := max(spareAsksPerGrant*LentLimit(rate).Rate, float64(instances)/maxSpareDelay.Seconds()); asks > 1.001*limit {
 				t.Errorf("%d instances, %v/s: %.1f queries/s, want at most %.1f", instances, rate, asks, limit)
 			}
 		}
@@ -196,7 +196,7 @@
 func TestQueryRateIsBounded(t *testing.T) {
 	for _, instances := range []int{1, 7, 330} {
 		asked, seconds := 0, 10
-		q := &Questions{}
+		q := &QueryLimiter{}
 		for ms := range 1000 * seconds {
 			for range 5 {
 				if q.Take(instances, at(ms)) {
@@ -218,7 +218,7 @@
 	now := epoch
 	var turns []time.Time
 	for len(turns) < 5 {
-		if answer := l.AskInTurn("e", LimitAt(2), quota.Turn{}, now); !answer.Granted {
+		if answer := l.GrantInTurn("e", LentLimit(2), quota.Turn{}, now); !answer.Granted {
 			turns = append(turns, now.Add(answer.After))
 		}
 	}
@@ -226,10 +226,10 @@
 		if i > 0 && turn.Sub(turns[i-1]) < 400*time.Millisecond {
 			t.Errorf("turn %d is %s after the previous one, want about 500 ms", i, turn.Sub(turns[i-1]))
 		}
-		if l.AskInTurn("e", LimitAt(2), quota.Turn{Spare: true}, turn).Granted {
+		if l.GrantInTurn("e", LentLimit(2), quota.Turn{Spare: true}, turn).Granted {
 			t.Error("a spare request was granted what was promised to others")
 		}
-		if !l.AskInTurn("e", LimitAt(2), quota.Turn{Waited: true}, turn).Granted {
+		if !l.GrantInTurn("e", LentLimit(2), quota.Turn{Waited: true}, turn).Granted {
 			t.Errorf("turn %d was not granted", i)
 		}
 	}
--- a/command/holder/lease.go
+++ b/command/holder/lease.go
@@ -119,7 +119,7 @@
 	mayLend := h.lease.MayLend(clock.Exact())
 	record, revision, ok = h.lease.Release(clock.Now())
 	if mayLend {
-		record.Left = h.lender.Left(clock.Now())
+		record.Left = h.lender.Reserves(clock.Now())
 	}
 	workers := slices.Collect(maps.Values(h.workers))
 	h.mu.Unlock()
--- a/command/holder/lend.go
+++ b/command/holder/lend.go
@@ -40,8 +40,8 @@
 		return loans, false
 	}
 	if !h.lease.MayLend(now) {
-		h.lender.Heard(instance, uses.Workspaces, h.limitOf, now)
-		h.serverLender.Heard(instance, uses.Servers, h.serverLimits.Lent, now)
+		h.lender.RecordReport(instance, uses.Workspaces, h.limitOf, now)
+		h.serverLender.RecordReport(instance, uses.Servers, h.serverLimits.Lent, now)
 		return loans, false
 	}
 	loans.Workspaces = h.lender.Lend(instance, uses.Workspaces, h.limitOf, now)
@@ -63,7 +63,7 @@
 	if !ok || !h.serverLimits.Limited(server) {
 		return quota.Answer{Granted: true, Known: true} // a newer response shows that the limit has ended
 	}
-	return h.serverLender.AskInTurn(server, limit, turn, now)
+	return h.serverLender.GrantInTurn(server, limit, turn, now)
 }
 
 // Draw decides whether a request may run when its instance has used up what it was lent of the workspace's limit.
@@ -76,15 +76,15 @@
 	if !known || !h.lease.MayLend(now) {
 		return quota.Answer{}
 	}
-	return h.lender.Ask(workspace, cost, limit, now)
+	return h.lender.Grant(workspace, cost, limit, now)
 }
 
 // ExpectInstances names the instances that may still have shares from an earlier holder.
 func (h *Holder) ExpectInstances(names []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lender.Expect(names)
-	h.serverLender.Expect(names)
+	h.lender.ExpectReports(names)
+	h.serverLender.ExpectReports(names)
 }
 
 // Limits returns the holder's totals of the limits of workspaces. held is false at instances that do not hold the
--- a/command/quota/lender.go
+++ b/command/quota/lender.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Expect sets the instances that may have shares of the previous holder.
-func (l *Lender) Expect(names []string) {
+// ExpectReports sets the instances that may have shares of the previous holder.
+func (l *Lender) ExpectReports(names []string) {
 	l.pending = map[string]bool{}
 	for _, name := range names {
 		if !l.reported[name] {
@@ -119,7 +119,7 @@
 // from now on. It must be called only while the lease is valid and the previous holder's lease has
 // expired.
 func (l *Lender) Lend(instance string, uses []Use, limits LimitLookup, now time.Time) []Loan {
-	l.Heard(instance, uses, limits, now)
+	l.RecordReport(instance, uses, limits, now)
 	var loans []Loan
 	for _, use := range uses {
 		if a := l.accounts[use.Workspace]; a != nil {
@@ -129,8 +129,8 @@
 	return loans
 }
 
-// Heard processes an instance's report without changing the instance's shares.
-func (l *Lender) Heard(instance string, uses []Use, limits LimitLookup, now time.Time) {
+// RecordReport processes an instance's report without changing the instance's shares.
+func (l *Lender) RecordReport(instance string, uses []Use, limits LimitLookup, now time.Time) {
 	first := !l.reported[instance]
 	l.reported[instance] = true
 	delete(l.pending, instance)
@@ -163,9 +163,9 @@
 	}
 }
 
-// Ask answers a query for one request. It must be called only while the lease is valid and the previous
+// Grant answers a query for one request. It must be called only while the lease is valid and the previous
 // holder's lease has expired.
-func (l *Lender) Ask(workspace string, cost float64, limit serving.Limit, now time.Time) Answer {
+func (l *Lender) Grant(workspace string, cost float64, limit serving.Limit, now time.Time) Answer {
 	if !limit.Limited() {
 		return Answer{Granted: true, Known: true}
 	}
@@ -367,9 +367,9 @@
 	return list
 }
 
-// Left returns, by workspace, the amount reserved for queries, rounded down. It may be handed over to
+// Reserves returns, by workspace, the amount reserved for queries, rounded down. It may be handed over to
 // the next holder if this one lends nothing more.
-func (l *Lender) Left(now time.Time) map[string]float64 {
+func (l *Lender) Reserves(now time.Time) map[string]float64 {
 	left := map[string]float64{}
 	for name, a := range l.accounts {
 		l.refill(a, now)
--- a/command/quota/lender_test.go
+++ b/command/quota/lender_test.go
@@ -105,10 +105,10 @@
 	if sum := sim.lender.totalOutstanding(sim.lender.accounts["w"], sim.now); sum.Rate > sim.limit.Rate {
 		t.Errorf("%.0f/s lent of a limit of %.0f/s", sum.Rate, sim.limit.Rate)
 	}
-	if answer := sim.lender.Ask("w", 1e9, serving.Limit{}, sim.now); !answer.Granted {
+	if answer := sim.lender.Grant("w", 1e9, serving.Limit{}, sim.now); !answer.Granted {
 		t.Error("a request of a workspace without a limit was refused")
 	}
-	if answer := sim.lender.Ask("w", 1e9, sim.limit, sim.now); answer.Granted || answer.After != 0 || !answer.Known {
+	if answer := sim.lender.Grant("w", 1e9, sim.limit, sim.now); answer.Granted || answer.After != 0 || !answer.Known {
 		t.Errorf("%+v for a request that can never be granted", answer)
 	}
 	sim.limit.Tokens = false
@@ -131,7 +131,7 @@
 			t.Fatal("the share was not sufficient")
 		}
 		now := epoch.Add(c.after)
-		s.GiveBack("w", 100, epoch, now)
+		s.Refund("w", 100, epoch, now)
 		if s.Take("w", 100, now) != c.want {
 			t.Errorf("given back after %s: available %v, want %v", c.after, !c.want, c.want)
 		}
--- a/command/quota/shares.go
+++ b/command/quota/shares.go
@@ -59,8 +59,8 @@
 	return h.Bucket.Take(cost)
 }
 
-// Refused records that a request was refused because of the limit.
-func (s *Shares) Refused(workspace string, cost float64, now time.Time) {
+// RecordRefusal records that a request was refused because of the limit.
+func (s *Shares) RecordRefusal(workspace string, cost float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.refreshed(workspace, now)
@@ -68,10 +68,10 @@
 	h.totalRefused += cost
 }
 
-// GiveBack returns the cost of a request that did not reach a server. It does nothing if the cost was
+// Refund returns the cost of a request that did not reach a server. It does nothing if the cost was
 // taken longer than giveBackWindow ago: the amount may have been gained again since, and would be
 // admitted twice in one window.
-func (s *Shares) GiveBack(workspace string, cost float64, taken, now time.Time) {
+func (s *Shares) Refund(workspace string, cost float64, taken, now time.Time) {
 	if now.Sub(taken) >= giveBackWindow {
 		return
 	}
@@ -106,9 +106,9 @@
 	return uses
 }
 
-// Unreported restores the counts of a report that was not answered, except for the returned amounts,
+// RestoreReport restores the counts of a report that was not answered, except for the returned amounts,
 // since the holder may have received the report.
-func (s *Shares) Unreported(uses []Use, now time.Time) {
+func (s *Shares) RestoreReport(uses []Use, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range uses {
--- a/command/quota/simulation_test.go
+++ b/command/quota/simulation_test.go
@@ -45,10 +45,10 @@
 func (s *simulation) replaceHolder(handOver bool) {
 	var left map[string]float64
 	if handOver {
-		left = s.lender.Left(s.now)
+		left = s.lender.Reserves(s.now)
 	}
 	s.lender = NewLender(s.params, false, left, s.now)
-	s.lender.Expect(s.names)
+	s.lender.ExpectReports(s.names)
 }
 
 func (s *simulation) limits(name string) (serving.Limit, bool) { return s.limit, name == "w" }
@@ -67,13 +67,13 @@
 	uses := s.shares[i].Report(s.now)
 	s.now = s.now.Add(transit)
 	if lost == reportLost {
-		s.shares[i].Unreported(uses, s.now)
+		s.shares[i].RestoreReport(uses, s.now)
 		return
 	}
 	loans := s.lender.Lend(s.names[i], uses, s.limits, s.now)
 	s.now = s.now.Add(transit)
 	if lost == replyLost {
-		s.shares[i].Unreported(uses, s.now)
+		s.shares[i].RestoreReport(uses, s.now)
 		return
 	}
 	s.shares[i].Apply(loans, sent, s.now)
@@ -83,10 +83,10 @@
 func (s *simulation) request(i int, cost float64, lost int) bool {
 	admitted := s.shares[i].Take("w", cost, s.now)
 	if !admitted && lost != reportLost {
-		answer := s.lender.Ask("w", cost, s.limit, s.now)
+		answer := s.lender.Grant("w", cost, s.limit, s.now)
 		admitted = answer.Granted && lost == nothingLost
 		if answer.Known && !answer.Granted {
-			s.shares[i].Refused("w", cost, s.now)
+			s.shares[i].RecordRefusal("w", cost, s.now)
 		}
 	}
 	if admitted {
--- a/command/quota/strategies_test.go
+++ b/command/quota/strategies_test.go
@@ -174,7 +174,7 @@
 	if !w.lost.IsZero() && a.at.After(w.lost) {
 		return false, true
 	}
-	return w.lender.Ask(a.workspace, a.cost, w.limits[a.workspace], a.at).Granted, true
+	return w.lender.Grant(a.workspace, a.cost, w.limits[a.workspace], a.at).Granted, true
 }
 
 // lendAndAsk lends shares and queries the holder beyond them, as the product does.
@@ -225,9 +225,9 @@
 	case !w.lost.IsZero() && a.at.After(w.lost):
 		return false, true
 	}
-	answer := w.lender.Ask(a.workspace, a.cost, w.limits[a.workspace], a.at)
+	answer := w.lender.Grant(a.workspace, a.cost, w.limits[a.workspace], a.at)
 	if !answer.Granted {
-		s.Refused(a.workspace, a.cost, a.at)
+		s.RecordRefusal(a.workspace, a.cost, a.at)
 	}
 	return answer.Granted, true
 }
--- a/entry/access.go
+++ b/entry/access.go
@@ -106,7 +106,7 @@
 		return func() {}, nil
 	}
 	now := clock.Exact()
-	release = func() { g.shares.GiveBack(w.Name, cost, now, clock.Exact()) }
+	release = func() { g.shares.Refund(w.Name, cost, now, clock.Exact()) }
 	if g.shares.Take(w.Name, cost, now) {
 		return release, nil
 	}
@@ -136,7 +136,7 @@
 // overLimit returns the refusal of a request that exceeds its workspace's limit. after is the time
 // until the request would be within the limit, 0 if it never will be.
 func (g *accessControl) overLimit(w *serving.Workspace, cost float64, after time.Duration) *verdict.Failure {
-	g.shares.Refused(w.Name, cost, clock.Now())
+	g.shares.RecordRefusal(w.Name, cost, clock.Now())
 	failure := verdict.Refuse(verdict.ReasonOverLimit, "workspace %s asks for more than its limit", w.Name)
 	if after <= 0 {
 		return failure
--- a/entry/follower.go
+++ b/entry/follower.go
@@ -249,8 +249,8 @@
 		f.applyCrashes(args.Crashes, reply.Crashes, clock.Now())
 	}
 	if err != nil || !reply.Held {
-		f.shares.Unreported(args.Uses, clock.Now())
-		f.limiter.shares.Unreported(args.ServerUses, clock.Now())
+		f.shares.RestoreReport(args.Uses, clock.Now())
+		f.limiter.shares.RestoreReport(args.ServerUses, clock.Now())
 		f.recordUnanswered(record, err)
 		return false
 	}
--- a/entry/serverlimiter.go
+++ b/entry/serverlimiter.go
@@ -26,9 +26,9 @@
 	// shares are the parts of the limits that the holder has lent. uncoordinated limits what the
 	// instance sends while no holder lends.
 	shares        *quota.Shares
-	uncoordinated *backpressure.Alone
+	uncoordinated *backpressure.HolderlessLimiter
 	// queries bounds how often the holder is asked.
-	queries *backpressure.Questions
+	queries *backpressure.QueryLimiter
 	dir     *directory.Directory
 	// members has the instances that share a server while no holder lends.
 	members *members
@@ -51,7 +51,7 @@
 
 func newServerLimiter(self string, dir *directory.Directory, m *members, set *metrics.Set, log logrus.FieldLogger) *serverLimiter {
 	i := &serverLimiter{
-		ledger: backpressure.NewLedger(), shares: quota.NewShares(backpressure.QuotaParams().Lifetime), uncoordinated: backpressure.NewAlone(self), queries: &backpressure.Questions{},
+		ledger: backpressure.NewLedger(), shares: quota.NewShares(backpressure.QuotaParams().Lifetime), uncoordinated: backpressure.NewHolderlessLimiter(self), queries: &backpressure.QueryLimiter{},
 		dir: dir, members: m, log: log, lastLent: clock.Now(), spareFrom: map[string]time.Time{}, lastRefused: map[string]time.Time{}, requestReport: func() {}, instances: func() int { return 1 },
 	}
 	gauge := func(name string, value func(limited, resting int) int) {
@@ -124,9 +124,9 @@
 
 // mergeLimits applies the limits that another instance reports.
 func (i *serverLimiter) mergeLimits(snapshots []backpressure.Snapshot, source string) {
-	for _, l := range i.ledger.Take(snapshots, clock.Now()) {
+	for _, l := range i.ledger.Merge(snapshots, clock.Now()) {
 		i.log.WithFields(logrus.Fields{
-			"server": l.Server, "born": l.Born, "sent_ms": clock.Since(l.Sent).Milliseconds(), "limited": l.Named, "rate": l.Rate, "source": source,
+			"server": l.Server, "born": l.Born, "sent_ms": clock.Since(l.SentAt).Milliseconds(), "limited": l.Advertised, "rate": l.Rate, "source": source,
 		}).Info("server's limit changed")
 	}
 }
@@ -153,7 +153,7 @@
 		return forward.Admission{Granted: true}
 	}
 	now := clock.Exact()
-	a := forward.Admission{Rate: rate, GiveBack: func() { i.shares.GiveBack(s.ID, 1, now, clock.Exact()) }}
+	a := forward.Admission{Rate: rate, GiveBack: func() { i.shares.Refund(s.ID, 1, now, clock.Exact()) }}
 	a.Granted = i.shares.Take(s.ID, 1, now)
 	if !a.Granted {
 		a.Granted, a.After = i.askHolder(ctx, s, rate, t)
@@ -207,7 +207,7 @@
 	if only {
 		i.lastRefused[server] = now
 	} else {
-		i.spareFrom[server] = now.Add(backpressure.SpareAgain(rate, instances, after))
+		i.spareFrom[server] = now.Add(backpressure.SpareRetryDelay(rate, instances, after))
 	}
 }
 
@@ -231,7 +231,7 @@
 	i.mu.Lock()
 	i.lastLent = sent
 	i.mu.Unlock()
-	i.uncoordinated.Lent()
+	i.uncoordinated.Reset()
 }
 
 // limiterSweepInterval is how often the state of removed servers is dropped.
@@ -264,8 +264,8 @@
 
 // Lent implements holder.ServerLimits.
 func (l lendableLimits) Lent(server string) (serving.Limit, bool) {
-	rate, ok := l.ledger.Account(server, clock.Now())
-	return backpressure.LimitAt(rate), ok
+	rate, ok := l.ledger.AccountingRate(server, clock.Now())
+	return backpressure.LentLimit(rate), ok
 }
 
 // Limited implements holder.ServerLimits.
