--- a/command/forward/guard.go
+++ b/command/forward/guard.go
@@ -188,10 +188,10 @@
 		return
 	}
 	b := quarantine.BrokenAttempt{
-		Fingerprint: fp, Subject: subject(t.request), Server: server, Alone: t.trial.End != nil, Silent: failure.Silent, Left: clientLeft,
+		Fingerprint: fp, Subject: subject(t.request), Server: server, Isolated: t.trial.End != nil, Unresponsive: failure.Silent, ClientGone: clientLeft,
 	}
 	if !t.firstEventAt.IsZero() {
-		b.Ran = clock.Since(t.firstEventAt)
+		b.RunTime = clock.Since(t.firstEventAt)
 	}
 	check := t.f.guard.RecordFailure(b)
 	switch {
--- a/command/forward/guard_test.go
+++ b/command/forward/guard_test.go
@@ -185,7 +185,7 @@
 				t.Errorf("%s: %d broken answers, want %d; %d answered", name, len(f.guard.failures), test.failures, f.guard.answered)
 			}
 			for _, b := range f.guard.failures {
-				if b.Left || b.Server.ID == "" {
+				if b.ClientGone || b.Server.ID == "" {
 					t.Errorf("%s: %+v", name, b)
 				}
 			}
--- a/command/forward/intake_test.go
+++ b/command/forward/intake_test.go
@@ -112,7 +112,7 @@
 	f.intake.onAdmit = func(s serving.Server) {
 		if leaving == "" {
 			leaving = s.ID
-			f.dir.Leave(directory.Leaver{ID: s.ID, Born: s.Born}, clock.Now())
+			f.dir.MarkLeaving(directory.LeavingServer{ID: s.ID, Born: s.Born}, clock.Now())
 		}
 	}
 	if _, failure := f.serve("unsafe", "", 0); failure != nil {
--- a/command/forward/transaction.go
+++ b/command/forward/transaction.go
@@ -313,7 +313,7 @@
 	if resp.Misdirected && t.request.Unit.Model != "" {
 		*outcome = balance.Neutral
 		t.missing = server.ID
-		t.f.dir.Lacks(server.ID, t.request.Unit, clock.Now())
+		t.f.dir.ReportMissingUnit(server.ID, t.request.Unit, clock.Now())
 	}
 	return verdict.Refuse(verdict.ReasonBackend, "server %s has not run it: status %d", server.ID, resp.Status)
 }
--- a/command/holder/holder.go
+++ b/command/holder/holder.go
@@ -212,7 +212,7 @@
 		return
 	}
 	h.serversRefreshedAt = clock.Now()
-	h.fleet.Complete(h.dir.Complete(clock.Now()))
+	h.fleet.Complete(h.dir.RemovalsComplete(clock.Now()))
 	h.fleet.SetServers(h.dir.All(), func(service string) *serving.EngineSpec { return config.Services[service].Engine })
 	for _, e := range h.fleet.Engines() {
 		e.NotBefore = h.lease.OrderFrom(e.Server.ID)
--- a/command/holder/limit_test.go
+++ b/command/holder/limit_test.go
@@ -94,7 +94,7 @@
 	spec := &serving.EngineSpec{MemoryMB: 100, Models: map[string]serving.Model{"m": {Name: "m", MemoryMB: 10, DiskLoad: time.Millisecond}}}
 	dir.ApplyConfig(&serving.Config{Version: 1, Services: map[string]serving.Service{"llm": {Name: "llm", Engine: spec}}})
 	dir.ApplyServer(serving.Server{ID: "e", Service: "llm", Revision: 1, Tiers: map[string]serving.Tier{"m": serving.TierDisk}}, time.Now())
-	dir.Listed(1, time.Now().Add(-directory.LapseGrace))
+	dir.SetRevision(1, time.Now().Add(-directory.LapseGrace))
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	platform := standin.NewPlatform()
--- a/command/quarantine/attempt.go
+++ b/command/quarantine/attempt.go
@@ -12,29 +12,29 @@
 	// Subject describes the request for operators.
 	Subject string
 	Server  serving.Server
-	// Ran is the time from the server's first event to the failure; 0 if there was no event.
-	Ran time.Duration
-	// Alone is set if the attempt was an isolated run of a suspect.
-	Alone bool
-	// Silent is set if the server stopped sending without closing the connection, as on a
+	// RunTime is the time from the server's first event to the failure; 0 if there was no event.
+	RunTime time.Duration
+	// Isolated is set if the attempt was an isolated run of a suspect.
+	Isolated bool
+	// Unresponsive is set if the server stopped sending without closing the connection, as on a
 	// partitioned link.
-	Silent bool
-	// Left is set if the client had disconnected before. The failure then does not indicate a
+	Unresponsive bool
+	// ClientGone is set if the client had disconnected before. The failure then does not indicate a
 	// crash, but if the server did crash, the request was running there.
-	Left bool
+	ClientGone bool
 }
 
 // inconclusive reports whether the failure is weak evidence against the request. When a link is
 // partitioned, the server's entry lapses as well, and a request whose client has disconnected may
 // have been cancelled long before the crash. Isolated runs are always conclusive, since they are
 // followed to their end.
-func (b *BrokenAttempt) inconclusive() bool { return !b.Alone && (b.Silent || b.Left) }
+func (b *BrokenAttempt) inconclusive() bool { return !b.Isolated && (b.Unresponsive || b.ClientGone) }
 
-// Ended records that the server of a broken attempt has crashed, and returns the escalations that
+// RecordCrash records that the server of a broken attempt has crashed, and returns the escalations that
 // follow. For a suspect, only the crash of a server that had just started the request counts
 // permanently: if the request had already run for longer than its grace period, another request is
 // more likely to be the cause. Such a late crash extends the grace period of the next run instead.
-func (l *Ledger) Ended(b BrokenAttempt, now time.Time) []Raise {
+func (l *Ledger) RecordCrash(b BrokenAttempt, now time.Time) []Escalation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	update := Record{Fingerprint: b.Fingerprint, Subject: b.Subject}
@@ -43,14 +43,14 @@
 	switch {
 	case suspect && b.inconclusive():
 		return nil
-	case suspect && b.Ran > r.grace():
-		update.Grace = min(maxGrace, graceFactor*b.Ran)
+	case suspect && b.RunTime > r.grace():
+		update.Grace = min(maxGrace, graceFactor*b.RunTime)
 	default:
 		update.Crashes = []Incarnation{IncarnationOf(b.Server)}
 		switch {
-		case b.Alone && l.needsConfirmation(b):
-			update.Pending = []PendingEnd{{Incarnation: IncarnationOf(b.Server)}}
-		case b.Alone:
+		case b.Isolated && l.needsConfirmation(b):
+			update.Pending = []PendingCrash{{Incarnation: IncarnationOf(b.Server)}}
+		case b.Isolated:
 			update.Alone = update.Crashes
 		}
 	}
--- a/command/quarantine/bench_test.go
+++ b/command/quarantine/bench_test.go
@@ -15,7 +15,7 @@
 	for n := range requests {
 		b := BrokenAttempt{Fingerprint: serving.Fingerprint(fmt.Sprintf("%032x", n)), Subject: "POST host.example/path/of/some/length/3f2a model-name/a12"}
 		b.Server = serving.Server{ID: fmt.Sprintf("i-%010x", n%30), Born: 1773379172019, Version: "v1"}
-		l.Ended(b, start)
+		l.RecordCrash(b, start)
 	}
 	return l
 }
@@ -33,15 +33,15 @@
 			_ = encoder.Encode(Message{}) // type descriptions are sent once per connection
 			bytes = 0
 			for range 2 {
-				m := l.Tell(link, start)
+				m := l.NextMessage(link, start)
 				_ = encoder.Encode(m)
-				reply, _ := other.Answer(m, start)
-				l.Told(&link, m, reply, start)
+				reply, _ := other.HandleMessage(m, start)
+				l.HandleReply(&link, m, reply, start)
 			}
 			for b.Loop() {
-				m := l.Tell(link, start)
-				reply, _ := other.Answer(m, start)
-				l.Told(&link, m, reply, start)
+				m := l.NextMessage(link, start)
+				reply, _ := other.HandleMessage(m, start)
+				l.HandleReply(&link, m, reply, start)
 			}
 			b.ReportMetric(float64(bytes)/float64(max(1, requests)), "B/record")
 		})
--- a/command/quarantine/ledger.go
+++ b/command/quarantine/ledger.go
@@ -54,10 +54,10 @@
 	}
 }
 
-// Answered records that the request was answered. The request is cleared, and crashes reported shortly
-// afterwards do not count against it. Answered returns the previous state, and whether any crash
+// RecordAnswer records that the request was answered. The request is cleared, and crashes reported shortly
+// afterwards do not count against it. RecordAnswer returns the previous state, and whether any crash
 // counted against the request.
-func (l *Ledger) Answered(fp serving.Fingerprint, now time.Time) (before State, changed bool) {
+func (l *Ledger) RecordAnswer(fp serving.Fingerprint, now time.Time) (before State, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answered.add(fp, now)
@@ -93,8 +93,8 @@
 	return Record{}, false
 }
 
-// Known returns the request's record in the form that Take accepts; nil if there is none.
-func (l *Ledger) Known(fp serving.Fingerprint, now time.Time) []Record {
+// RecordsOf returns the request's record in the form that Take accepts; nil if there is none.
+func (l *Ledger) RecordsOf(fp serving.Fingerprint, now time.Time) []Record {
 	if r, known := l.Record(fp, now); known {
 		return []Record{r}
 	}
@@ -120,9 +120,9 @@
 	return r != nil && len(r.Crashes) > 0 && r.State() == Clear
 }
 
-// StateOn returns how the request is treated on servers with the given software version. A quarantined
+// StateOnVersion returns how the request is treated on servers with the given software version. A quarantined
 // request may run isolated on a version of which it has crashed no server.
-func (l *Ledger) StateOn(fp serving.Fingerprint, version string) State {
+func (l *Ledger) StateOnVersion(fp serving.Fingerprint, version string) State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[fp]
@@ -182,7 +182,7 @@
 
 // merge adds to the ledger what a record contains beyond what is known, and returns the escalation that
 // follows, if any. l.mu must be held.
-func (l *Ledger) merge(from Record, now time.Time) []Raise {
+func (l *Ledger) merge(from Record, now time.Time) []Escalation {
 	r := l.records[from.Fingerprint]
 	if r == nil {
 		l.evictIfFull()
@@ -210,7 +210,7 @@
 		l.dropAttributions(r, before)
 		return nil
 	}
-	raised := []Raise{{Record: r.snapshot(now), To: r.State()}}
+	raised := []Escalation{{Record: r.snapshot(now), NewState: r.State()}}
 	if r.State() == Quarantined {
 		l.attributeCrashes(r)
 	}
--- a/command/quarantine/ledger_test.go
+++ b/command/quarantine/ledger_test.go
@@ -23,8 +23,8 @@
 
 // recordCrash records that server n crashed just after it had started the request, in an isolated run
 // if the request is a suspect.
-func recordCrash(l *Ledger, fp serving.Fingerprint, n int) []Raise {
-	return l.Ended(BrokenAttempt{Fingerprint: fp, Server: server(n), Alone: l.State(fp) == Suspect}, start)
+func recordCrash(l *Ledger, fp serving.Fingerprint, n int) []Escalation {
+	return l.RecordCrash(BrokenAttempt{Fingerprint: fp, Server: server(n), Isolated: l.State(fp) == Suspect}, start)
 }
 
 // TestStateTransitions: the first crash leaves a request clear, the second makes it a suspect, and the
@@ -52,7 +52,7 @@
 	if before, changed := l.Clear("a", start); before != Suspect || !changed {
 		t.Errorf("cleared from %s, changed %v", before, changed)
 	}
-	l.Take([]Record{{Fingerprint: "a", Crashes: []Incarnation{incarnation(1), incarnation(2)}}}, start)
+	l.Merge([]Record{{Fingerprint: "a", Crashes: []Incarnation{incarnation(1), incarnation(2)}}}, start)
 	if got := l.State("a"); got != Clear {
 		t.Errorf("%s after reports of crashes that it was cleared of, want clear", got)
 	}
@@ -69,12 +69,12 @@
 // were refused permanently.
 func TestRecentlyAnsweredStaysClear(t *testing.T) {
 	unanswered, answered := NewLedger(), NewLedger()
-	answered.Answered("a", start)
+	answered.RecordAnswer("a", start)
 	var link Link
 	exchange := func() {
-		m := unanswered.Tell(link, start)
-		reply, _ := answered.Answer(m, start)
-		unanswered.Told(&link, m, reply, start)
+		m := unanswered.NextMessage(link, start)
+		reply, _ := answered.HandleMessage(m, start)
+		unanswered.HandleReply(&link, m, reply, start)
 	}
 	for n := range 3 {
 		recordCrash(answered, "a", n)
@@ -89,13 +89,13 @@
 	}
 	later := start.Add(2 * minAnswerRetention)
 	for n := range 3 {
-		answered.Ended(BrokenAttempt{Fingerprint: "a", Server: server(20 + n), Alone: n == 2}, later)
+		answered.RecordCrash(BrokenAttempt{Fingerprint: "a", Server: server(20 + n), Isolated: n == 2}, later)
 	}
 	if got := answered.State("a"); got != Quarantined {
 		t.Errorf("%s long after the last answer, want quarantined", got)
 	}
 	for n := range 3 * maxRecentAnswers {
-		answered.Answered(serving.Fingerprint(fmt.Sprint(n)), later)
+		answered.RecordAnswer(serving.Fingerprint(fmt.Sprint(n)), later)
 	}
 	if n := len(answered.answered.current); n > maxRecentAnswers {
 		t.Errorf("%d answers remembered, more than maxRecentAnswers", n)
@@ -144,14 +144,14 @@
 	for n := range 3 {
 		recordCrash(l, "a", n)
 	}
-	if state := l.StateOn("a", "v1"); state != Quarantined {
+	if state := l.StateOnVersion("a", "v1"); state != Quarantined {
 		t.Errorf("%s on the version whose servers crashed, want quarantined", state)
 	}
-	if state := l.StateOn("a", "v2"); state != Suspect {
+	if state := l.StateOnVersion("a", "v2"); state != Suspect {
 		t.Errorf("%s on a new version, want suspect", state)
 	}
-	l.Ended(BrokenAttempt{Fingerprint: "a", Server: serving.Server{ID: "n", Version: "v2"}}, start)
-	if state := l.StateOn("a", "v2"); state != Quarantined {
+	l.RecordCrash(BrokenAttempt{Fingerprint: "a", Server: serving.Server{ID: "n", Version: "v2"}}, start)
+	if state := l.StateOnVersion("a", "v2"); state != Quarantined {
 		t.Errorf("%s after one crash on the new version, want quarantined", state)
 	}
 }
@@ -168,10 +168,10 @@
 			if links[key] == nil {
 				links[key] = &Link{}
 			}
-			m := ledgers[from].Tell(*links[key], start)
-			reply, _ := ledgers[to].Answer(m, start)
+			m := ledgers[from].NextMessage(*links[key], start)
+			reply, _ := ledgers[to].HandleMessage(m, start)
 			if !lost {
-				ledgers[from].Told(links[key], m, reply, start)
+				ledgers[from].HandleReply(links[key], m, reply, start)
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -227,13 +227,13 @@
 // run with one server crash every 1.5 s, and other times while the store was unavailable.
 func TestLongRunsNotQuarantined(t *testing.T) {
 	l := NewLedger()
-	l.Ended(BrokenAttempt{Fingerprint: "a", Server: server(1), Ran: 3 * time.Second}, start)
-	l.Ended(BrokenAttempt{Fingerprint: "a", Server: server(2)}, start)
-	l.Ended(BrokenAttempt{Fingerprint: "a", Server: server(3), Ran: 837 * time.Millisecond}, start)
+	l.RecordCrash(BrokenAttempt{Fingerprint: "a", Server: server(1), RunTime: 3 * time.Second}, start)
+	l.RecordCrash(BrokenAttempt{Fingerprint: "a", Server: server(2)}, start)
+	l.RecordCrash(BrokenAttempt{Fingerprint: "a", Server: server(3), RunTime: 837 * time.Millisecond}, start)
 	if got := l.State("a"); got != Suspect {
 		t.Errorf("%s, want suspect", got)
 	}
-	l.Ended(BrokenAttempt{Fingerprint: "a", Server: server(4), Ran: 100 * time.Millisecond, Alone: true}, start)
+	l.RecordCrash(BrokenAttempt{Fingerprint: "a", Server: server(4), RunTime: 100 * time.Millisecond, Isolated: true}, start)
 	if got := l.State("a"); got != Quarantined {
 		t.Errorf("%s after a crash at the start of an isolated run, want quarantined", got)
 	}
@@ -244,12 +244,12 @@
 func TestInconclusiveFailures(t *testing.T) {
 	l := NewLedger()
 	for n := range 6 {
-		l.Ended(BrokenAttempt{Fingerprint: "a", Server: server(n), Silent: n%2 == 0, Left: n%2 == 1}, start)
+		l.RecordCrash(BrokenAttempt{Fingerprint: "a", Server: server(n), Unresponsive: n%2 == 0, ClientGone: n%2 == 1}, start)
 	}
 	if got := l.State("a"); got != Suspect {
 		t.Errorf("%s after inconclusive failures, want suspect", got)
 	}
-	l.Ended(BrokenAttempt{Fingerprint: "a", Server: server(7), Silent: true, Alone: true}, start)
+	l.RecordCrash(BrokenAttempt{Fingerprint: "a", Server: server(7), Unresponsive: true, Isolated: true}, start)
 	if got := l.State("a"); got != Quarantined {
 		t.Errorf("%s after the server of an isolated run stopped responding, want quarantined", got)
 	}
@@ -264,7 +264,7 @@
 	const crashesAfter = 2 * time.Second
 	crashes := 2
 	for ; l.State("a") != Quarantined && crashes < 10; crashes++ {
-		l.Ended(BrokenAttempt{Fingerprint: "a", Server: server(crashes), Ran: crashesAfter, Alone: true}, start)
+		l.RecordCrash(BrokenAttempt{Fingerprint: "a", Server: server(crashes), RunTime: crashesAfter, Isolated: true}, start)
 	}
 	if crashes != 4 {
 		t.Errorf("quarantined after %d crashes, want 4", crashes)
@@ -279,7 +279,7 @@
 		recordCrash(l, "bad", n)
 	}
 	for n := range 2 * maxRecords {
-		l.Ended(BrokenAttempt{Fingerprint: serving.Fingerprint(fmt.Sprint(n)), Server: server(n + 10)}, start.Add(time.Duration(n)))
+		l.RecordCrash(BrokenAttempt{Fingerprint: serving.Fingerprint(fmt.Sprint(n)), Server: server(n + 10)}, start.Add(time.Duration(n)))
 	}
 	if n := len(l.records); n > maxRecords {
 		t.Errorf("%d records, want at most %d", n, maxRecords)
@@ -294,19 +294,19 @@
 	if released := l.Expire(start.Add(quarantineLifetime)); len(released) != 1 || l.State("bad") != Clear || len(l.attributed) != 0 {
 		t.Errorf("%v released, want one; %d crashes still attributed", released, len(l.attributed))
 	}
-	m := NewLedger().Tell(Link{}, start)
+	m := NewLedger().NextMessage(Link{}, start)
 	for n := range 3 * maxMessageRecords {
 		recordCrash(l, serving.Fingerprint(fmt.Sprint("x", n)), n)
 	}
 	receiver, link := NewLedger(), Link{}
 	rounds := 0
-	for ; link.Sent() < l.Change() && rounds < 10; rounds++ {
-		m = l.Tell(link, start)
+	for ; link.SentRevision() < l.Revision() && rounds < 10; rounds++ {
+		m = l.NextMessage(link, start)
 		if len(m.Records) > maxMessageRecords {
 			t.Fatalf("%d records in one message", len(m.Records))
 		}
-		reply, _ := receiver.Answer(m, start)
-		l.Told(&link, m, reply, start)
+		reply, _ := receiver.HandleMessage(m, start)
+		l.HandleReply(&link, m, reply, start)
 	}
 	if len(receiver.records) != len(l.records) {
 		t.Errorf("%d of %d records sent in %d messages", len(receiver.records), len(l.records), rounds)
@@ -352,9 +352,9 @@
 	a, b := NewLedger(), NewLedger()
 	var link Link
 	exchange := func() int {
-		m := a.Tell(link, start)
-		reply, _ := b.Answer(m, start)
-		a.Told(&link, m, reply, start)
+		m := a.NextMessage(link, start)
+		reply, _ := b.HandleMessage(m, start)
+		a.HandleReply(&link, m, reply, start)
 		return len(m.Records) + len(reply.Records)
 	}
 	for n := range 3 * maxCleared {
--- a/command/quarantine/message.go
+++ b/command/quarantine/message.go
@@ -37,11 +37,11 @@
 	mismatches, resyncs int
 }
 
-// Sent returns the revision of the ledger up to which changes have been sent to the peer.
-func (k Link) Sent() uint64 { return k.sent }
+// SentRevision returns the revision of the ledger up to which changes have been sent to the peer.
+func (k Link) SentRevision() uint64 { return k.sent }
 
-// Change returns the ledger's current revision.
-func (l *Ledger) Change() uint64 {
+// Revision returns the ledger's current revision.
+func (l *Ledger) Revision() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.revision
@@ -55,8 +55,8 @@
 	return l.since(revision, now)
 }
 
-// Tell returns the next message to send over the link.
-func (l *Ledger) Tell(k Link, now time.Time) Message {
+// NextMessage returns the next message to send over the link.
+func (l *Ledger) NextMessage(k Link, now time.Time) Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := Message{From: l.id, Digest: l.digest, HeardFrom: k.peer, Heard: k.received}
@@ -64,8 +64,8 @@
 	return m
 }
 
-// Answer merges a message from another ledger. It returns the reply, and the escalations that follow.
-func (l *Ledger) Answer(m Message, now time.Time) (Message, []Raise) {
+// HandleMessage merges a message from another ledger. It returns the reply, and the escalations that follow.
+func (l *Ledger) HandleMessage(m Message, now time.Time) (Message, []Escalation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	raised := l.mergeRecords(m.Records, now)
@@ -102,9 +102,9 @@
 	maxResyncDoublings     = 8
 )
 
-// Told merges the peer's reply to a message that was sent over the link, and updates the link. It
+// HandleReply merges the peer's reply to a message that was sent over the link, and updates the link. It
 // returns the escalations that follow.
-func (l *Ledger) Told(k *Link, message, reply Message, now time.Time) []Raise {
+func (l *Ledger) HandleReply(k *Link, message, reply Message, now time.Time) []Escalation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.revision
@@ -130,16 +130,16 @@
 	return raised
 }
 
-// Take merges records of other ledgers, and returns the escalations that follow.
-func (l *Ledger) Take(records []Record, now time.Time) []Raise {
+// Merge merges records of other ledgers, and returns the escalations that follow.
+func (l *Ledger) Merge(records []Record, now time.Time) []Escalation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.mergeRecords(records, now)
 }
 
 // mergeRecords merges records that have not exceeded their lifetime. l.mu must be held.
-func (l *Ledger) mergeRecords(records []Record, now time.Time) []Raise {
-	var raised []Raise
+func (l *Ledger) mergeRecords(records []Record, now time.Time) []Escalation {
+	var raised []Escalation
 	for _, r := range records {
 		if r.Age < r.lifetime() {
 			raised = append(raised, l.merge(r, now)...)
--- a/command/quarantine/message_test.go
+++ b/command/quarantine/message_test.go
@@ -19,10 +19,10 @@
 	sent := 0
 	round := func(holder int) {
 		for i, l := range ledgers {
-			m := l.Tell(links[i], start)
-			reply, _ := ledgers[holder].Answer(m, start)
+			m := l.NextMessage(links[i], start)
+			reply, _ := ledgers[holder].HandleMessage(m, start)
 			sent += len(m.Records) + len(reply.Records)
-			l.Told(&links[i], m, reply, start)
+			l.HandleReply(&links[i], m, reply, start)
 		}
 	}
 	for range 3 {
--- a/command/quarantine/pending.go
+++ b/command/quarantine/pending.go
@@ -24,9 +24,9 @@
 // runs that a record may hold in addition to others.
 const maxPending = maxIsolatedCrashes
 
-// PendingEnd is the crash of an incarnation during an isolated run that another suspect may have
+// PendingCrash is the crash of an incarnation during an isolated run that another suspect may have
 // caused.
-type PendingEnd struct {
+type PendingCrash struct {
 	Incarnation Incarnation
 	// Age is the time since the crash.
 	Age time.Duration
@@ -48,7 +48,7 @@
 
 // mergePending merges pending crashes, and reports whether any was new. It skips those that no longer
 // count: otherwise ledgers would send them to each other forever. l.mu must be held.
-func (l *Ledger) mergePending(r *record, pending []PendingEnd, now time.Time) (changed bool) {
+func (l *Ledger) mergePending(r *record, pending []PendingCrash, now time.Time) (changed bool) {
 	for _, crash := range pending {
 		if crash.Age >= confirmationDelay && l.hasOtherCause(r.Fingerprint, crash.Incarnation) {
 			continue
@@ -85,10 +85,10 @@
 }
 
 // pendingSnapshot returns the pending crashes with ages instead of times, for other ledgers.
-func (r *record) pendingSnapshot(now time.Time) []PendingEnd {
-	var list []PendingEnd
+func (r *record) pendingSnapshot(now time.Time) []PendingCrash {
+	var list []PendingCrash
 	for _, crash := range r.pending {
-		list = append(list, PendingEnd{Incarnation: crash.incarnation, Age: max(0, now.Sub(crash.crashedAt))})
+		list = append(list, PendingCrash{Incarnation: crash.incarnation, Age: max(0, now.Sub(crash.crashedAt))})
 	}
 	return list
 }
@@ -129,7 +129,7 @@
 // DecidePending decides the pending crashes that are older than confirmationDelay: each counts as a
 // crash during an isolated run unless another suspect was running on the incarnation. It returns the
 // escalations that follow, and the requests against which a pending crash does not count.
-func (l *Ledger) DecidePending(now time.Time) (raised []Raise, dropped []serving.Fingerprint) {
+func (l *Ledger) DecidePending(now time.Time) (raised []Escalation, dropped []serving.Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for fp, r := range l.records {
--- a/command/quarantine/quarantine.go
+++ b/command/quarantine/quarantine.go
@@ -79,7 +79,7 @@
 	Alone []Incarnation
 	// Pending are crashes during isolated runs that are not yet in Alone, because another request may
 	// be the cause.
-	Pending []PendingEnd
+	Pending []PendingCrash
 	// Grace is the time after the first event of an isolated run during which a crash counts.
 	Grace time.Duration
 	// Age is the time since the last change.
@@ -110,7 +110,7 @@
 func (r *Record) same(other Record) bool {
 	return slices.Equal(r.Crashes, other.Crashes) && slices.Equal(r.Cleared, other.Cleared) &&
 		slices.Equal(r.Alone, other.Alone) &&
-		slices.EqualFunc(r.Pending, other.Pending, func(a, b PendingEnd) bool { return a.Incarnation == b.Incarnation }) &&
+		slices.EqualFunc(r.Pending, other.Pending, func(a, b PendingCrash) bool { return a.Incarnation == b.Incarnation }) &&
 		r.Grace == other.Grace
 }
 
@@ -119,10 +119,10 @@
 	return cmp.Or(cmp.Compare(a.Born, b.Born), cmp.Compare(a.Server, b.Server), cmp.Compare(a.Version, b.Version))
 }
 
-// Raise is the escalation of a request to a more severe state.
-type Raise struct {
+// Escalation is the escalation of a request to a more severe state.
+type Escalation struct {
 	Record
-	To State
+	NewState State
 }
 
 // Grace periods of isolated runs.
--- a/command/quarantine/restart_test.go
+++ b/command/quarantine/restart_test.go
@@ -28,7 +28,7 @@
 			crash.Age += now.Sub(r.writtenAt)
 			record.Pending = append(record.Pending, crash)
 		}
-		r.ledger.Take([]Record{record}, now)
+		r.ledger.Merge([]Record{record}, now)
 	}
 }
 
@@ -58,7 +58,7 @@
 		crashes := 0
 		for ; crashes < together; crashes++ {
 			for _, fp := range fps {
-				r.ledger.Ended(BrokenAttempt{Fingerprint: fp, Server: server(crashes)}, now)
+				r.ledger.RecordCrash(BrokenAttempt{Fingerprint: fp, Server: server(crashes)}, now)
 			}
 		}
 		r.write(now, fps...)
@@ -75,7 +75,7 @@
 			if r.ledger.State("culprit") != Suspect || r.ledger.HasPending("culprit") {
 				continue
 			}
-			r.ledger.Ended(BrokenAttempt{Fingerprint: "culprit", Server: server(crashes), Alone: true}, now)
+			r.ledger.RecordCrash(BrokenAttempt{Fingerprint: "culprit", Server: server(crashes), Isolated: true}, now)
 			crashes++
 			if rapid.IntRange(0, 4).Draw(t, "killed before the write") == 0 {
 				r.restart(now)
@@ -100,17 +100,17 @@
 	a, b := NewLedger(), NewLedger()
 	for n := range 3 {
 		for _, fp := range []serving.Fingerprint{"beside", "culprit"} {
-			a.Ended(BrokenAttempt{Fingerprint: fp, Server: server(n)}, start)
+			a.RecordCrash(BrokenAttempt{Fingerprint: fp, Server: server(n)}, start)
 		}
 	}
-	a.Ended(BrokenAttempt{Fingerprint: "beside", Server: server(3), Alone: true}, start)
+	a.RecordCrash(BrokenAttempt{Fingerprint: "beside", Server: server(3), Isolated: true}, start)
 	send := func(from, to *Ledger, now time.Time) {
 		records, _ := from.Since(0, now)
-		to.Take(records, now)
+		to.Merge(records, now)
 	}
 	send(a, b, start.Add(time.Second)) // in transit for one second
 	send(b, a, start.Add(time.Second))
-	a.Ended(BrokenAttempt{Fingerprint: "culprit", Server: server(3)}, start)
+	a.RecordCrash(BrokenAttempt{Fingerprint: "culprit", Server: server(3)}, start)
 	if _, dropped := a.DecidePending(start.Add(confirmationDelay)); len(dropped) != 1 {
 		t.Fatalf("dropped %v, want one request: the decision was postponed, or the crash counts", dropped)
 	}
--- a/command/quarantine/simultaneous_test.go
+++ b/command/quarantine/simultaneous_test.go
@@ -15,22 +15,22 @@
 		l, other := NewLedger(), NewLedger()
 		for n := range servers {
 			for _, fp := range []serving.Fingerprint{"beside", "culprit"} {
-				l.Ended(BrokenAttempt{Fingerprint: fp, Server: server(n)}, start)
+				l.RecordCrash(BrokenAttempt{Fingerprint: fp, Server: server(n)}, start)
 			}
 		}
 		if l.State("beside") != Suspect || l.State("culprit") != Suspect {
 			t.Fatalf("%d servers: %s and %s before an isolated run, want suspect", servers, l.State("beside"), l.State("culprit"))
 		}
-		l.Answered("beside", start)
+		l.RecordAnswer("beside", start)
 		if got := l.State("beside"); got != Clear {
 			t.Errorf("%d servers: %s after its answer, want clear", servers, got)
 		}
-		raised := l.Ended(BrokenAttempt{Fingerprint: "culprit", Server: server(servers), Alone: true}, start)
-		if len(raised) != 1 || raised[0].To != Quarantined {
+		raised := l.RecordCrash(BrokenAttempt{Fingerprint: "culprit", Server: server(servers), Isolated: true}, start)
+		if len(raised) != 1 || raised[0].NewState != Quarantined {
 			t.Errorf("%d servers: escalations %v after a crash during an isolated run", servers, raised)
 		}
 		records, _ := l.Since(0, start)
-		other.Take(records, start)
+		other.Merge(records, start)
 		if got := other.State("culprit"); got != Quarantined {
 			t.Errorf("%d servers: %s in the ledger that received the records, want quarantined", servers, got)
 		}
@@ -51,11 +51,11 @@
 	l := NewLedger()
 	for n := range 3 {
 		for _, fp := range []serving.Fingerprint{"beside", "culprit"} {
-			l.Ended(BrokenAttempt{Fingerprint: fp, Server: server(n)}, start)
+			l.RecordCrash(BrokenAttempt{Fingerprint: fp, Server: server(n)}, start)
 		}
 	}
-	l.Ended(BrokenAttempt{Fingerprint: "beside", Server: server(3), Alone: true}, start)
-	l.Ended(BrokenAttempt{Fingerprint: "culprit", Server: server(3)}, start)
+	l.RecordCrash(BrokenAttempt{Fingerprint: "beside", Server: server(3), Isolated: true}, start)
+	l.RecordCrash(BrokenAttempt{Fingerprint: "culprit", Server: server(3)}, start)
 	l.DecidePending(start.Add(confirmationDelay))
 	if got := l.State("beside"); got != Suspect {
 		t.Errorf("%s, want suspect", got)
@@ -74,12 +74,12 @@
 	l, later := NewLedger(), NewLedger()
 	for n, fps := range [][]serving.Fingerprint{{"culprit"}, {"culprit", "beside"}, {"beside"}} {
 		for _, fp := range fps {
-			l.Ended(BrokenAttempt{Fingerprint: fp, Server: server(n)}, start)
+			l.RecordCrash(BrokenAttempt{Fingerprint: fp, Server: server(n)}, start)
 		}
 	}
-	l.Ended(BrokenAttempt{Fingerprint: "culprit", Server: server(3), Alone: true}, start)
+	l.RecordCrash(BrokenAttempt{Fingerprint: "culprit", Server: server(3), Isolated: true}, start)
 	records, _ := l.Since(0, start)
-	later.Take(records, start)
+	later.Merge(records, start)
 	later.DecidePending(start.Add(confirmationDelay))
 	if got := later.State("culprit"); got != Quarantined {
 		t.Errorf("%s, want quarantined", got)
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -175,8 +175,8 @@
 	return found
 }
 
-// Drained reports whether a server was seen draining, also after it has been removed.
-func (d *Directory) Drained(id string) bool {
+// SeenDraining reports whether a server was seen draining, also after it has been removed.
+func (d *Directory) SeenDraining(id string) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	_, drained := d.draining[id]
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -77,9 +77,9 @@
 				from.RemoveServer(id, revision-1, start)
 			case "come back":
 				revision = store.RevisionOf(revision.Era()+1, revision.Number()/2)
-				from.Listed(revision, start)
+				from.SetRevision(revision, start)
 			case "list": // the other directory lists the store itself
-				from.Listed(revision, start)
+				from.SetRevision(revision, start)
 				for _, s := range from.All() {
 					to.ApplyServer(s, start)
 				}
@@ -88,7 +88,7 @@
 						to.RemoveServer(id, revision, start)
 					}
 				}
-				to.Listed(revision, start)
+				to.SetRevision(revision, start)
 				seen = 0
 			case "relay":
 				delta := from.Since(seen, to.Revision())
@@ -98,7 +98,7 @@
 		}
 		to.ApplyDelta(from.Since(seen, to.Revision()), start)
 		if revision.Era() > 0 && from.Digest() != to.Digest() { // then request a full delta after CopiedGrace
-			to.ApplyDelta(from.Since(0, Everything), start.Add(CopiedGrace))
+			to.ApplyDelta(from.Since(0, AllServers), start.Add(RestoreGrace))
 		}
 		if from.Digest() != to.Digest() {
 			t.Fatal("digests differ after all deltas were applied")
@@ -136,21 +136,21 @@
 func TestRelayFindsDifference(t *testing.T) {
 	holder, other := New(), New()
 	holder.ApplyServer(server("x", 1, false), start)
-	holder.Listed(1, start)
+	holder.SetRevision(1, start)
 	other.ApplyDelta(holder.Since(0, 0), start)
 	other.RemoveServer("x", 2, start)
 	other.ApplyServer(server("gone", 3, false), start)
-	other.Listed(3, start)
+	other.SetRevision(3, start)
 	seen := holder.Since(0, other.Revision()).Change
 	holder.ApplyServer(server("x", 4, false), start) // the entry is written again
-	holder.Listed(5, start)                          // and that of the other server has been removed
+	holder.SetRevision(5, start)                     // and that of the other server has been removed
 	delta := holder.Since(seen, other.Revision())
 	other.ApplyDelta(delta, start)
 	if delta.Digest == other.Digest() {
 		t.Fatal("directories that differ have the same digest")
 	}
-	delta = holder.Since(seen, Everything)
-	gone := other.ApplyDelta(delta, start).Gone
+	delta = holder.Since(seen, AllServers)
+	gone := other.ApplyDelta(delta, start).Removed
 	if _, known := other.Server("x"); !known || delta.Digest != other.Digest() {
 		t.Errorf("after a full delta the server is known: %v", known)
 	}
@@ -158,7 +158,7 @@
 		t.Errorf("servers removed by a full delta: %v", gone)
 	}
 	other.ApplyServer(server("newer", 9, false), start)
-	if gone := other.ApplyDelta(holder.Since(0, Everything), start).Gone; len(gone) != 0 {
+	if gone := other.ApplyDelta(holder.Since(0, AllServers), start).Removed; len(gone) != 0 {
 		t.Errorf("a server that is newer than the delta was removed: %v", gone)
 	}
 }
@@ -173,7 +173,7 @@
 	view := []EngineView{{Engine: "e", Units: []UnitView{{Unit: one}, {Unit: two}}}}
 	d.ApplyViews(1, view, nil, now)
 	offered := func(unit serving.Unit, at time.Time) bool { return len(d.Replicas("llm", unit, at)) > 0 }
-	d.Lacks("e", one, now)
+	d.ReportMissingUnit("e", one, now)
 	if offered(one, now) || !offered(two, now) {
 		t.Errorf("offered for the missing unit: %v, for the other unit: %v", offered(one, now), offered(two, now))
 	}
@@ -195,24 +195,24 @@
 func TestComplete(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New()
-	if d.Complete(now) {
+	if d.RemovalsComplete(now) {
 		t.Error("complete before servers were listed")
 	}
 	d.ApplyServer(serving.Server{ID: "a", Service: "llm", Revision: 1}, now)
-	d.Listed(1, now)
-	if d.Complete(now.Add(LapseGrace - time.Millisecond)) {
+	d.SetRevision(1, now)
+	if d.RemovalsComplete(now.Add(LapseGrace - time.Millisecond)) {
 		t.Error("complete while lapsed entries may be written again")
 	}
 	now = now.Add(LapseGrace)
-	d.Listed(2, now)
-	if !d.Complete(now) {
+	d.SetRevision(2, now)
+	if !d.RemovalsComplete(now) {
 		t.Error("not complete after LapseGrace")
 	}
 	d.ApplyDelta(Delta{Full: true, Revision: 3}, now)
-	if _, known := d.Server("a"); known || d.Complete(now) {
+	if _, known := d.Server("a"); known || d.RemovalsComplete(now) {
 		t.Errorf("server still known: %v, or complete right after a full delta of another directory", known)
 	}
-	if !d.Complete(now.Add(LapseGrace)) {
+	if !d.RemovalsComplete(now.Add(LapseGrace)) {
 		t.Error("not complete although no entry was written again within LapseGrace")
 	}
 }
--- a/directory/era.go
+++ b/directory/era.go
@@ -6,9 +6,9 @@
 	"github.com/martenport/martenport/store"
 )
 
-// CopiedGrace is how long a store that was restored from a backup may have entries of servers that had been removed
+// RestoreGrace is how long a store that was restored from a backup may have entries of servers that had been removed
 // before the restore: until the platform has missed three heartbeats of each such server, which are 1.2 s apart.
-const CopiedGrace = 5 * time.Second
+const RestoreGrace = 5 * time.Second
 
 // observeEra records when a revision of a new era was first seen. d.mu must be held.
 func (d *Directory) observeEra(r store.Revision, now time.Time) {
@@ -20,5 +20,5 @@
 // mayBeRestored reports whether the entry at revision r, of a server that was removed, may be an old one that was
 // restored with a backup of the store. d.mu must be held.
 func (d *Directory) mayBeRestored(r store.Revision, gone removal, now time.Time) bool {
-	return gone.revision.Era() < r.Era() && now.Sub(d.eraBegan) < CopiedGrace
+	return gone.revision.Era() < r.Era() && now.Sub(d.eraBegan) < RestoreGrace
 }
--- a/directory/era_test.go
+++ b/directory/era_test.go
@@ -30,7 +30,7 @@
 	d.RemoveServer("x", store.RevisionOf(0, 105), start)
 	copied := server("x", store.RevisionOf(1, 100), false)
 	d.ApplyServer(copied, start)
-	d.ApplyServer(copied, start.Add(CopiedGrace-1))
+	d.ApplyServer(copied, start.Add(RestoreGrace-1))
 	if len(d.Servers("s")) != 0 {
 		t.Error("offered because of a restored entry of a removed server")
 	}
@@ -39,7 +39,7 @@
 		t.Error("not offered after an entry that was written after the removal")
 	}
 	d.RemoveServer("x", store.RevisionOf(0, 107), start)
-	d.ApplyServer(copied, start.Add(CopiedGrace))
+	d.ApplyServer(copied, start.Add(RestoreGrace))
 	if len(d.Servers("s")) != 1 {
 		t.Error("not offered although its entry still exists after CopiedGrace")
 	}
--- a/directory/leaving.go
+++ b/directory/leaving.go
@@ -8,16 +8,16 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Leaver is a server process that announced in a response that it is leaving.
-type Leaver struct {
+// LeavingServer is a server process that announced in a response that it is leaving.
+type LeavingServer struct {
 	ID   string
 	Born int64
 }
 
-// Leave records that a process announced in a response that it is leaving, and reports whether that is new. The
+// MarkLeaving records that a process announced in a response that it is leaving, and reports whether that is new. The
 // process is draining from then until it ends, even if its entry states otherwise: the entry may be older, and the
 // store may be unavailable for a long time and not accept a newer one.
-func (d *Directory) Leave(l Leaver, now time.Time) bool {
+func (d *Directory) MarkLeaving(l LeavingServer, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s, live := d.servers[l.ID]
@@ -36,17 +36,17 @@
 	return true
 }
 
-// Leavers returns the live servers that have announced in responses that they are leaving. Instances that cannot
+// LeavingServers returns the live servers that have announced in responses that they are leaving. Instances that cannot
 // reach the store learn of them only from other instances.
-func (d *Directory) Leavers() []Leaver {
+func (d *Directory) LeavingServers() []LeavingServer {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	var list []Leaver
+	var list []LeavingServer
 	for id, known := range d.draining {
 		if _, live := d.servers[id]; live && known.announced {
-			list = append(list, Leaver{ID: id, Born: known.born})
+			list = append(list, LeavingServer{ID: id, Born: known.born})
 		}
 	}
-	slices.SortFunc(list, func(a, b Leaver) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b LeavingServer) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
--- a/directory/leaving_test.go
+++ b/directory/leaving_test.go
@@ -17,8 +17,8 @@
 	for name, born := range map[string]int64{"known birth": 10, "birth not said": 0} {
 		d := New()
 		d.ApplyServer(entry(born, 1), start)
-		before, change := d.Digest(), d.Since(0, Everything).Change
-		if !d.Leave(Leaver{"e", born}, start) || d.Leave(Leaver{"e", born}, start) {
+		before, change := d.Digest(), d.Since(0, AllServers).Change
+		if !d.MarkLeaving(LeavingServer{"e", born}, start) || d.MarkLeaving(LeavingServer{"e", born}, start) {
 			t.Errorf("%s: want the announcement reported as new exactly once", name)
 		}
 		if d.Digest() == before || len(d.Since(change, 0).Servers) != 1 {
@@ -35,18 +35,18 @@
 		if s, _ := d.Server("e"); !s.Draining {
 			t.Errorf("%s: offered again after its entry had lapsed", name)
 		}
-		if list := d.Leavers(); len(list) != 1 || list[0] != (Leaver{"e", born}) {
+		if list := d.LeavingServers(); len(list) != 1 || list[0] != (LeavingServer{"e", born}) {
 			t.Errorf("%s: %v", name, list)
 		}
 	}
 	d := New()
 	d.ApplyServer(entry(20, 1), start)
-	if d.Leave(Leaver{"e", 10}, start) || len(d.Servers("s")) != 1 {
+	if d.MarkLeaving(LeavingServer{"e", 10}, start) || len(d.Servers("s")) != 1 {
 		t.Error("draining because of an announcement of the earlier process")
 	}
-	d.Leave(Leaver{"e", 20}, start)
+	d.MarkLeaving(LeavingServer{"e", 20}, start)
 	d.ApplyServer(entry(30, 2), start)
-	if len(d.Servers("s")) != 1 || len(d.Leavers()) != 0 {
+	if len(d.Servers("s")) != 1 || len(d.LeavingServers()) != 0 {
 		t.Error("the process after one that left is not offered")
 	}
 }
@@ -54,9 +54,9 @@
 // TestLeaveBeforeEntry: the announcement may be received before the server's entry.
 func TestLeaveBeforeEntry(t *testing.T) {
 	d := New()
-	d.Leave(Leaver{"e", 10}, start)
+	d.MarkLeaving(LeavingServer{"e", 10}, start)
 	d.ApplyServer(serving.Server{ID: "e", Service: "s", Born: 10, Revision: 1}, start)
-	if len(d.Servers("s")) != 0 || len(d.Leavers()) != 1 {
+	if len(d.Servers("s")) != 0 || len(d.LeavingServers()) != 1 {
 		t.Error("offered although it is leaving")
 	}
 }
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -33,9 +33,9 @@
 	Full bool
 }
 
-// Everything is the revision that requests all servers, for a requester whose state cannot be described by a
+// AllServers is the revision that requests all servers, for a requester whose state cannot be described by a
 // revision.
-const Everything = -1
+const AllServers = -1
 
 // Since returns the changes after the change that an earlier Delta named. If change is 0, it returns the servers
 // that are newer than revision, the store revision up to which the requester knows the servers, and all removals
@@ -44,7 +44,7 @@
 func (d *Directory) Since(change uint64, revision store.Revision) Delta {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	delta := Delta{Change: d.lastChange, Revision: d.revision, Digest: d.digest, Full: revision == Everything}
+	delta := Delta{Change: d.lastChange, Revision: d.revision, Digest: d.digest, Full: revision == AllServers}
 	if delta.Full {
 		change = 0
 	}
@@ -70,7 +70,7 @@
 type Applied struct {
 	// Leaving are the servers that are known to be draining for the first time.
 	Leaving []string
-	Gone    []string
+	Removed []string
 }
 
 // ApplyDelta applies the delta of another instance's directory.
@@ -83,13 +83,13 @@
 	}
 	for _, r := range delta.Removed {
 		if d.RemoveServer(r.ID, r.Revision, now) {
-			applied.Gone = append(applied.Gone, r.ID)
+			applied.Removed = append(applied.Removed, r.ID)
 		}
 	}
 	if delta.Full {
-		applied.Gone = append(applied.Gone, d.removeUnlisted(delta, now)...)
+		applied.Removed = append(applied.Removed, d.removeUnlisted(delta, now)...)
 	}
-	d.Listed(delta.Revision, now)
+	d.SetRevision(delta.Revision, now)
 	return applied
 }
 
@@ -120,8 +120,8 @@
 	return d.revision
 }
 
-// Listed records the store revision up to which the servers are known.
-func (d *Directory) Listed(revision store.Revision, now time.Time) {
+// SetRevision records the store revision up to which the servers are known.
+func (d *Directory) SetRevision(revision store.Revision, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.observeEra(revision, now)
@@ -135,11 +135,11 @@
 // the store is unavailable. The platform allows about two seconds for them.
 const LapseGrace = 2200 * time.Millisecond
 
-// Complete reports whether a server that is not in the directory is certainly removed. That is unknown to a process
+// RemovalsComplete reports whether a server that is not in the directory is certainly removed. That is unknown to a process
 // that has just listed the servers for the first time: the store may have returned a moment before, and entries that
 // lapsed meanwhile may be written again within LapseGrace. It is also unknown to a process that has just removed
 // servers because another instance, perhaps one in that state, lacks them.
-func (d *Directory) Complete(now time.Time) bool {
+func (d *Directory) RemovalsComplete(now time.Time) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return !d.removalsKnownSince.IsZero() && now.Sub(d.removalsKnownSince) >= LapseGrace
--- a/directory/views.go
+++ b/directory/views.go
@@ -82,10 +82,10 @@
 // holder.
 const missingUnitTTL = time.Second
 
-// Lacks records the report of an engine that it does not have a unit. The engine is not offered for the unit until
+// ReportMissingUnit records the report of an engine that it does not have a unit. The engine is not offered for the unit until
 // the holder sends a new view of the engine: each request sent would be refused again and would use the budget of
 // repeated sends.
-func (d *Directory) Lacks(id string, unit serving.Unit, now time.Time) {
+func (d *Directory) ReportMissingUnit(id string, unit serving.Unit, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, live := d.servers[id]; !live {
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -92,7 +92,7 @@
 	switch {
 	case w.check != nil:
 		w.check.requestProbe()
-	case !b.Left:
+	case !b.ClientGone:
 		w.check = newCrashCheck()
 		go c.check(incarnation, w.server, w.lastSeen.Add(probeSpacing), w.check)
 	}
@@ -117,7 +117,7 @@
 
 // Answered implements forward.Guard.
 func (c *crashDetector) Answered(fp serving.Fingerprint) {
-	before, changed := c.ledger.Answered(fp, clock.Now())
+	before, changed := c.ledger.RecordAnswer(fp, clock.Now())
 	if !changed {
 		return
 	}
@@ -165,12 +165,12 @@
 	if s, known := c.dir.Server(incarnation.Server); known && s.Draining && s.Born == incarnation.Born {
 		return // the end was planned
 	}
-	var raised []quarantine.Raise
+	var raised []quarantine.Escalation
 	for _, b := range failures {
-		if b.Left && now.Sub(b.at) > cancelledRelevance {
+		if b.ClientGone && now.Sub(b.at) > cancelledRelevance {
 			continue
 		}
-		raised = append(raised, c.ledger.Ended(b.BrokenAttempt, now)...)
+		raised = append(raised, c.ledger.RecordCrash(b.BrokenAttempt, now)...)
 		// Restarted instances decide by all ends recorded for held requests, so each further end is
 		// written to the store.
 		if c.ledger.State(b.Fingerprint) != quarantine.Clear {
--- a/entry/era.go
+++ b/entry/era.go
@@ -52,6 +52,6 @@
 func (w *watcher) mustRelist(prefix string, started time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	graceEnd := w.eraStart.Add(directory.CopiedGrace)
+	graceEnd := w.eraStart.Add(directory.RestoreGrace)
 	return prefix == platform.PrefixServers && !w.eraStart.IsZero() && started.Before(graceEnd) && !clock.Now().Before(graceEnd)
 }
--- a/entry/follower.go
+++ b/entry/follower.go
@@ -119,7 +119,7 @@
 	limiter *serverLimiter
 	// shares are the parts of workspaces' limits that are lent to this instance; set before run.
 	shares   *quota.Shares
-	onRaised func([]quarantine.Raise)
+	onRaised func([]quarantine.Escalation)
 	// link is how much of each other's ledgers the holder and this instance have; guarded by mu.
 	link quarantine.Link
 }
@@ -147,7 +147,7 @@
 	return &follower{
 		name: name, holder: h, dir: dir, pool: pool, members: m, log: log,
 		arrivals: map[string]*holder.Arrivals{}, running: map[unitOnEngine]int{}, waiting: map[string]map[*waitingRequest]struct{}{}, cachedPlaces: map[forward.Wanted]cachedPlace{}, instances: assumedInstances, minInterval: exchangeInterval,
-		reportRequested: make(chan struct{}, 1), ledger: quarantine.NewLedger(), shares: quota.NewShares(0), onRaised: func([]quarantine.Raise) {},
+		reportRequested: make(chan struct{}, 1), ledger: quarantine.NewLedger(), shares: quota.NewShares(0), onRaised: func([]quarantine.Escalation) {},
 	}
 }
 
@@ -239,7 +239,7 @@
 		f.limitsExchange = limitsProgress{fence: record.Fence}
 	}
 	var through uint64
-	args.Leaving = f.dir.Leavers()
+	args.Leaving = f.dir.LeavingServers()
 	args.SeenLimits = f.limitsExchange.received
 	args.ServerLimits, through = f.limiter.ledger.Since(f.limitsExchange.sent, clock.Now())
 	var reply ExchangeReply
@@ -290,7 +290,7 @@
 	if now := clock.Now(); f.serversDiffer && now.Sub(f.lastFullRequest) >= fullRequestWait(f.fullRequests) {
 		f.lastFullRequest = now
 		f.fullRequests++
-		r.Revision = directory.Everything
+		r.Revision = directory.AllServers
 	}
 	for _, a := range f.arrivals {
 		r.Arrivals = append(r.Arrivals, *a)
@@ -303,7 +303,7 @@
 	for model := range f.waiting {
 		r.Waiting[model] = f.waitingFor(model, clock.Now())
 	}
-	return f.record, &ExchangeArgs{Report: r, Crashes: f.ledger.Tell(f.link, clock.Now())}
+	return f.record, &ExchangeArgs{Report: r, Crashes: f.ledger.NextMessage(f.link, clock.Now())}
 }
 
 // fullRequestWait returns the pause after the given number of requests for the full list of servers.
--- a/entry/follower_test.go
+++ b/entry/follower_test.go
@@ -24,7 +24,7 @@
 	}
 	asksForAll := func() bool {
 		_, args := f.buildReport()
-		return args.Revision == directory.Everything
+		return args.Revision == directory.AllServers
 	}
 	same := f.dir.Digest()
 	answered(same + 1)
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -25,7 +25,7 @@
 		return state
 	}
 	for _, s := range g.dir.Servers(service) {
-		if onVersion := g.ledger.StateOn(fp, s.Version); onVersion != quarantine.Quarantined {
+		if onVersion := g.ledger.StateOnVersion(fp, s.Version); onVersion != quarantine.Quarantined {
 			return onVersion
 		}
 	}
@@ -34,7 +34,7 @@
 
 // StateOn implements forward.Guard.
 func (g *crashGuard) StateOn(fp serving.Fingerprint, s serving.Server) quarantine.State {
-	return g.ledger.StateOn(fp, s.Version)
+	return g.ledger.StateOnVersion(fp, s.Version)
 }
 
 // Implicated implements forward.Guard.
--- a/entry/quarantine_broadcast.go
+++ b/entry/quarantine_broadcast.go
@@ -30,10 +30,10 @@
 func (q *quarantineManager) receiveDirect(records []quarantine.Record, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	upToDate := q.delivered == q.ledger.Change()
+	upToDate := q.delivered == q.ledger.Revision()
 	q.merge(records, now)
 	if upToDate {
-		q.delivered = q.ledger.Change()
+		q.delivered = q.ledger.Revision()
 	}
 }
 
--- a/entry/quarantine_manager.go
+++ b/entry/quarantine_manager.go
@@ -76,7 +76,7 @@
 // recordChange handles an end that this instance has detected, and the requests that became suspect or
 // quarantined because of it. It schedules writing them to the store, and reports them to the holder at
 // once.
-func (q *quarantineManager) recordChange(raised []quarantine.Raise) {
+func (q *quarantineManager) recordChange(raised []quarantine.Escalation) {
 	q.recordRaised(raised, "seen here")
 	q.scheduleRaised(raised)
 	q.follower.triggerReport()
@@ -85,7 +85,7 @@
 
 // answerMessage merges another instance's message, and returns the message to answer it with.
 func (q *quarantineManager) answerMessage(m quarantine.Message, now time.Time) quarantine.Message {
-	answer, raised := q.ledger.Answer(m, now)
+	answer, raised := q.ledger.HandleMessage(m, now)
 	if len(raised) > 0 { // no single instance has observed all ends that count here
 		q.recordRaised(raised, "put together")
 		q.scheduleRaised(raised)
@@ -96,21 +96,21 @@
 
 // merge merges records from another instance.
 func (q *quarantineManager) merge(records []quarantine.Record, now time.Time) {
-	q.recordReceived(q.ledger.Take(records, now))
+	q.recordReceived(q.ledger.Merge(records, now))
 }
 
 // recordReceived records which requests became held because of another instance's records.
-func (q *quarantineManager) recordReceived(raised []quarantine.Raise) {
+func (q *quarantineManager) recordReceived(raised []quarantine.Escalation) {
 	q.recordRaised(raised, "heard")
 }
 
 // recordRaised logs which requests became held, and makes the holder notify all other instances.
-func (q *quarantineManager) recordRaised(raised []quarantine.Raise, source string) {
+func (q *quarantineManager) recordRaised(raised []quarantine.Escalation, source string) {
 	for _, r := range raised {
 		q.log.WithFields(logrus.Fields{
-			"fingerprint": r.Fingerprint, "subject": r.Subject, "state": r.To, "servers": r.Crashes, "source": source,
+			"fingerprint": r.Fingerprint, "subject": r.Subject, "state": r.NewState, "servers": r.Crashes, "source": source,
 		}).Warn("servers ended while the request ran there")
-		q.set.GetOrCreateCounter(`martenport_requests_held_total{state="` + r.To.String() + `"}`).Inc()
+		q.set.GetOrCreateCounter(`martenport_requests_held_total{state="` + r.NewState.String() + `"}`).Inc()
 	}
 	if len(raised) > 0 && q.isHolder() {
 		q.scheduleUrgent(raised)
@@ -133,7 +133,7 @@
 	}
 }
 
-func (q *quarantineManager) scheduleRaised(raised []quarantine.Raise) {
+func (q *quarantineManager) scheduleRaised(raised []quarantine.Escalation) {
 	for _, r := range raised {
 		q.scheduleWrite(r.Fingerprint)
 	}
--- a/entry/quarantine_store.go
+++ b/entry/quarantine_store.go
@@ -52,7 +52,7 @@
 // matches reports whether the entry agrees with a record of the ledger.
 func (h heldRequest) matches(r quarantine.Record) bool {
 	return slices.Equal(h.Crashes, r.Crashes) && slices.Equal(h.Alone, r.Alone) &&
-		slices.EqualFunc(h.Pending, r.Pending, func(a heldEnd, b quarantine.PendingEnd) bool { return a.Incarnation == b.Incarnation })
+		slices.EqualFunc(h.Pending, r.Pending, func(a heldEnd, b quarantine.PendingCrash) bool { return a.Incarnation == b.Incarnation })
 }
 
 func (h heldRequest) decode(fp serving.Fingerprint, now time.Time) quarantine.Record {
@@ -61,7 +61,7 @@
 		Age: max(0, now.Sub(time.UnixMilli(h.ChangedMS))),
 	}
 	for _, end := range h.Pending {
-		r.Pending = append(r.Pending, quarantine.PendingEnd{Incarnation: end.Incarnation, Age: max(0, now.Sub(time.UnixMilli(end.EndedMS)))})
+		r.Pending = append(r.Pending, quarantine.PendingCrash{Incarnation: end.Incarnation, Age: max(0, now.Sub(time.UnixMilli(end.EndedMS)))})
 	}
 	return r
 }
@@ -82,7 +82,7 @@
 		}
 		records = append(records, h.decode(serving.Fingerprint(obj.Key[len(prefixQuarantine):]), now))
 	}
-	q.recordRaised(q.ledger.Take(records, clock.Now()), "store")
+	q.recordRaised(q.ledger.Merge(records, clock.Now()), "store")
 	q.loaded.Store(true)
 	return true
 }
@@ -116,7 +116,7 @@
 		return err
 	}
 	if version != 0 {
-		q.recordRaised(q.ledger.Take([]quarantine.Record{stored.decode(fp, now)}, clock.Now()), "store")
+		q.recordRaised(q.ledger.Merge([]quarantine.Record{stored.decode(fp, now)}, clock.Now()), "store")
 	}
 	r, known := q.ledger.Record(fp, clock.Now())
 	if !known || r.State() == quarantine.Clear {
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -17,8 +17,8 @@
 // a suspect.
 func hold(r *running, fp serving.Fingerprint, ends int) {
 	for n := range ends {
-		b := quarantine.BrokenAttempt{Fingerprint: fp, Subject: "POST h.example/x m1", Server: serving.Server{ID: string(rune('a' + n)), Version: "v1"}, Alone: n >= quarantine.SuspectAfter}
-		r.crashes.quarantine.recordChange(r.quarantine.ledger.Ended(b, time.Now()))
+		b := quarantine.BrokenAttempt{Fingerprint: fp, Subject: "POST h.example/x m1", Server: serving.Server{ID: string(rune('a' + n)), Version: "v1"}, Isolated: n >= quarantine.SuspectAfter}
+		r.crashes.quarantine.recordChange(r.quarantine.ledger.RecordCrash(b, time.Now()))
 	}
 }
 
@@ -78,8 +78,8 @@
 	f := newFleet(t, 3)
 	f.await("a holder", func() bool { return f.holder() != nil })
 	for n, r := range f.instances {
-		b := quarantine.BrokenAttempt{Fingerprint: "fp", Server: serving.Server{ID: string(rune('a' + n))}, Alone: n >= quarantine.SuspectAfter}
-		r.quarantine.recordChange(r.quarantine.ledger.Ended(b, time.Now()))
+		b := quarantine.BrokenAttempt{Fingerprint: "fp", Server: serving.Server{ID: string(rune('a' + n))}, Isolated: n >= quarantine.SuspectAfter}
+		r.quarantine.recordChange(r.quarantine.ledger.RecordCrash(b, time.Now()))
 	}
 	f.await("known everywhere", f.everywhere("fp", quarantine.Quarantined))
 	f.await("written by one that has put it together", func() bool {
@@ -203,6 +203,6 @@
 // endUnder has an instance learn that a server has ended under a request.
 func endUnder(r *running, fp serving.Fingerprint, server int, alone bool) {
 	s := serving.Server{ID: string(rune('a' + server)), Version: "v1"}
-	b := quarantine.BrokenAttempt{Fingerprint: fp, Server: s, Alone: alone}
+	b := quarantine.BrokenAttempt{Fingerprint: fp, Server: s, Isolated: alone}
 	r.crashes.countEnd(quarantine.IncarnationOf(s), []timedAttempt{{b, time.Now()}}, time.Now())
 }
--- a/entry/quarantine_urgent.go
+++ b/entry/quarantine_urgent.go
@@ -18,7 +18,7 @@
 const minUrgentInterval = 100 * time.Millisecond
 
 // scheduleUrgent schedules notifying all other instances of requests.
-func (q *quarantineManager) scheduleUrgent(raised []quarantine.Raise) {
+func (q *quarantineManager) scheduleUrgent(raised []quarantine.Escalation) {
 	q.mu.Lock()
 	for _, r := range raised {
 		q.urgent[r.Fingerprint] = true
@@ -49,7 +49,7 @@
 	q.mu.Unlock()
 	var records []quarantine.Record
 	for fp := range urgent {
-		records = append(records, q.ledger.Known(fp, clock.Now())...)
+		records = append(records, q.ledger.RecordsOf(fp, clock.Now())...)
 	}
 	if len(records) == 0 {
 		return
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -48,7 +48,7 @@
 	ServerLimits []backpressure.Snapshot
 	SeenLimits   uint64
 	// Leaving are the servers that have announced in answers that they leave.
-	Leaving []directory.Leaver
+	Leaving []directory.LeavingServer
 }
 
 // WireView is a directory.EngineView with times as durations from now.
@@ -89,7 +89,7 @@
 	ServerLimits []backpressure.Snapshot
 	LimitsUpTo   uint64
 	// Leaving are the servers that have announced in answers that they leave.
-	Leaving []directory.Leaver
+	Leaving []directory.LeavingServer
 }
 
 // TurnArgs asks to admit a request to a server with a limit. Told is the limit as known to the
@@ -224,7 +224,7 @@
 	update.Views = nil
 	reply.Held, reply.News, reply.StoreAgeMS = true, update, s.storeAge(now).Milliseconds()
 	s.limiter.mergeLeaving(args.Leaving, args.Name)
-	reply.Leaving = s.limiter.dir.Leavers()
+	reply.Leaving = s.limiter.dir.LeavingServers()
 	s.limiter.mergeLimits(args.ServerLimits, args.Name)
 	reply.ServerLimits, reply.LimitsUpTo = s.limiter.ledger.Since(args.SeenLimits, now)
 	loans, lends := s.holder.Lend(args.Name, holder.Uses{Workspaces: args.Uses, Servers: args.ServerUses})
@@ -278,8 +278,8 @@
 		return nil
 	}
 	reply.Held = s.holder.Settled(now)
-	reply.Known = s.quarantine.ledger.Known(args.Fingerprint, now)
-	mayRun := s.quarantine.ledger.StateOn(args.Fingerprint, args.Version) == quarantine.Suspect && !s.quarantine.ledger.HasPending(args.Fingerprint)
+	reply.Known = s.quarantine.ledger.RecordsOf(args.Fingerprint, now)
+	mayRun := s.quarantine.ledger.StateOnVersion(args.Fingerprint, args.Version) == quarantine.Suspect && !s.quarantine.ledger.HasPending(args.Fingerprint)
 	if reply.Held && mayRun {
 		reply.Granted = s.trials.Begin(args.Trial, time.Duration(args.LongestMS)*time.Millisecond, now)
 	}
@@ -290,7 +290,7 @@
 func (s *service) Consult(args *ConsultArgs, reply *ConsultReply) error {
 	now := clock.Now()
 	s.quarantine.merge(args.Known, now)
-	reply.Known = s.quarantine.ledger.Known(args.Fingerprint, now)
+	reply.Known = s.quarantine.ledger.RecordsOf(args.Fingerprint, now)
 	return nil
 }
 
--- a/entry/serverlimiter.go
+++ b/entry/serverlimiter.go
@@ -59,14 +59,14 @@
 	}
 	gauge("martenport_servers_limited", func(limited, _ int) int { return limited })
 	gauge("martenport_servers_resting", func(_, resting int) int { return resting })
-	set.NewGauge("martenport_servers_leaving", func() float64 { return float64(len(dir.Leavers())) })
+	set.NewGauge("martenport_servers_leaving", func() float64 { return float64(len(dir.LeavingServers())) })
 	return i
 }
 
 // observe applies what a server states about itself in an answer, and logs what has changed.
 func (i *serverLimiter) observe(w serving.Advisory) {
 	if w.Leaving {
-		i.markLeaving(directory.Leaver{ID: w.Server, Born: w.Born}, "answer")
+		i.markLeaving(directory.LeavingServer{ID: w.Server, Born: w.Born}, "answer")
 	}
 	changed := i.ledger.Observe(w, clock.Now())
 	if changed == (backpressure.Change{}) {
@@ -88,8 +88,8 @@
 }
 
 // markLeaving records that a server has announced that it leaves.
-func (i *serverLimiter) markLeaving(server directory.Leaver, source string) {
-	if !i.dir.Leave(server, clock.Now()) {
+func (i *serverLimiter) markLeaving(server directory.LeavingServer, source string) {
+	if !i.dir.MarkLeaving(server, clock.Now()) {
 		return
 	}
 	i.log.WithFields(logrus.Fields{"server": server.ID, "born": server.Born, "source": source}).Info("server says that it leaves")
@@ -97,7 +97,7 @@
 }
 
 // mergeLeaving records the leaving servers that another instance reports.
-func (i *serverLimiter) mergeLeaving(list []directory.Leaver, source string) {
+func (i *serverLimiter) mergeLeaving(list []directory.LeavingServer, source string) {
 	for _, l := range list {
 		i.markLeaving(l, source)
 	}
--- a/entry/staleness.go
+++ b/entry/staleness.go
@@ -88,7 +88,7 @@
 	for _, id := range applied.Leaving {
 		w.logLeaving(id, "holder", now.Sub(at))
 	}
-	for _, id := range applied.Gone {
+	for _, id := range applied.Removed {
 		w.dropServer(id, update.Servers.Revision)
 	}
 	w.recordSynced(platform.PrefixServers, at)
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -21,12 +21,12 @@
 		return false, forward.ErrNoHolder
 	}
 	var reply TrialReply
-	args := &TrialArgs{Trial: t, Version: version, LongestMS: maxRun.Milliseconds(), Known: f.ledger.Known(t.Fingerprint, clock.Now())}
+	args := &TrialArgs{Trial: t, Version: version, LongestMS: maxRun.Milliseconds(), Known: f.ledger.RecordsOf(t.Fingerprint, clock.Now())}
 	if err := f.call(ctx, record, callTimeout, methodTrial, args, &reply); err != nil {
 		go f.endTrial(t, false) // the trial may have been granted, and no other runs until it ends
 		return false, errors.Wrap(forward.ErrNoHolder, err.Error())
 	}
-	f.onRaised(f.ledger.Take(reply.Known, clock.Now()))
+	f.onRaised(f.ledger.Merge(reply.Known, clock.Now()))
 	if !reply.Held {
 		return false, forward.ErrNoHolder
 	}
@@ -44,11 +44,11 @@
 		return forward.ErrNoHolder
 	}
 	var reply ConsultReply
-	args := &ConsultArgs{Fingerprint: fp, Known: f.ledger.Known(fp, clock.Now())}
+	args := &ConsultArgs{Fingerprint: fp, Known: f.ledger.RecordsOf(fp, clock.Now())}
 	if err := f.call(ctx, record, consultTimeout, methodConsult, args, &reply); err != nil {
 		return errors.Wrap(forward.ErrNoHolder, err.Error())
 	}
-	f.onRaised(f.ledger.Take(reply.Known, clock.Now()))
+	f.onRaised(f.ledger.Merge(reply.Known, clock.Now()))
 	f.log.WithFields(logrus.Fields{"fingerprint": fp, "holder": record.Holder, "state": f.ledger.State(fp)}).Info("holder asked before a request is sent under which a server ended")
 	return nil
 }
@@ -59,7 +59,7 @@
 	f.mu.Lock()
 	record := f.record
 	f.mu.Unlock()
-	_ = f.call(context.Background(), record, callTimeout, methodTrial, &TrialArgs{Trial: t, Over: true, Doubtful: inconclusive, Known: f.ledger.Known(t.Fingerprint, clock.Now())}, &TrialReply{})
+	_ = f.call(context.Background(), record, callTimeout, methodTrial, &TrialArgs{Trial: t, Over: true, Doubtful: inconclusive, Known: f.ledger.RecordsOf(t.Fingerprint, clock.Now())}, &TrialReply{})
 }
 
 // applyCrashes merges the answer to a report about requests under which servers ended.
@@ -67,7 +67,7 @@
 	f.mu.Lock()
 	link := f.link
 	f.mu.Unlock()
-	f.onRaised(f.ledger.Told(&link, sent, answer, now))
+	f.onRaised(f.ledger.HandleReply(&link, sent, answer, now))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.link = link
@@ -78,7 +78,7 @@
 func (f *follower) reportProgress() (unansweredCount int, delivered uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.unansweredReports, f.link.Sent()
+	return f.unansweredReports, f.link.SentRevision()
 }
 
 // triggerReport makes the next report be sent at once.
--- a/entry/watch_apply.go
+++ b/entry/watch_apply.go
@@ -71,7 +71,7 @@
 		}
 		w.applyServer(server)
 	}
-	w.dir.Listed(snap.Revision, clock.Now())
+	w.dir.SetRevision(snap.Revision, clock.Now())
 	for _, id := range known {
 		if full && !listed[id] {
 			gone[id] = snap.Revision
@@ -157,7 +157,7 @@
 
 // dropServer drops the state of a removed server.
 func (w *watcher) dropServer(id string, revision store.Revision) {
-	w.crashes.handleEntryRemoved(id, w.dir.Drained(id))
+	w.crashes.handleEntryRemoved(id, w.dir.SeenDraining(id))
 	w.backends.Forget(id)
 	w.balancer.Forget(id)
 	w.log.WithFields(logrus.Fields{"server": id, "revision": revision}).Info("server gone")
