--- a/command/holder/bench_test.go
+++ b/command/holder/bench_test.go
@@ -53,7 +53,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	h := New(DefaultParams("holder", "10.0.0.1:1", time.Second), standin.NewPlatform(), nil, dir, NewCounts(metrics.NewSet()), log)
+	h := New(DefaultParams("holder", "10.0.0.1:1", time.Second), standin.NewPlatform(), nil, dir, NewMetrics(metrics.NewSet()), log)
 	ctx, stop := context.WithCancel(context.Background())
 	stop() // workers execute nothing
 	h.ctx = ctx
--- a/command/holder/counts.go
+++ b/command/holder/counts.go
@@ -10,8 +10,8 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Counts are the metrics of a holder.
-type Counts struct {
+// Metrics are the metrics of a holder.
+type Metrics struct {
 	set              *metrics.Set
 	takeOvers        *metrics.Counter
 	reports          *metrics.Counter
@@ -20,27 +20,27 @@
 	loadTimeError *metrics.Histogram
 }
 
-// NewCounts registers the metrics in set and returns them.
-func NewCounts(set *metrics.Set) *Counts {
-	return &Counts{
+// NewMetrics registers the metrics in set and returns them.
+func NewMetrics(set *metrics.Set) *Metrics {
+	return &Metrics{
 		set: set, takeOvers: set.NewCounter("martenport_lease_takeovers_total"),
 		reports: set.NewCounter("martenport_engine_reports_total"), operationSeconds: set.NewHistogram("martenport_operation_seconds"),
 		loadTimeError: set.NewHistogram("martenport_weight_store_promise_error_ratio"),
 	}
 }
 
-func (c *Counts) countOrder(answer serving.OrderAnswer) {
+func (c *Metrics) countOrder(answer serving.OrderAnswer) {
 	c.set.GetOrCreateCounter(`martenport_orders_total{answer="` + answer.String() + `"}`).Inc()
 }
 
 // observeWeightStoreLoad records the error of the predicted duration of a load from the weight store.
-func (c *Counts) observeWeightStoreLoad(predicted, actual time.Duration) {
+func (c *Metrics) observeWeightStoreLoad(predicted, actual time.Duration) {
 	if actual > 0 {
 		c.loadTimeError.Update(math.Abs((predicted - actual).Seconds()) / actual.Seconds())
 	}
 }
 
-func (c *Counts) observeOperation(op replicas.Operation, err error, duration time.Duration) {
+func (c *Metrics) observeOperation(op replicas.Operation, err error, duration time.Duration) {
 	kind, outcome := "model", "done"
 	if op.Load.Adapter != "" {
 		kind = "adapter"
--- a/command/holder/counts_test.go
+++ b/command/holder/counts_test.go
@@ -12,7 +12,7 @@
 // store is exported as a metric, for loads that took longer and for those that took less time.
 func TestWeightStoreLoadTimeErrorIsExported(t *testing.T) {
 	set := metrics.NewSet()
-	c := NewCounts(set)
+	c := NewMetrics(set)
 	c.observeWeightStoreLoad(10*time.Second, 20*time.Second)
 	c.observeWeightStoreLoad(30*time.Second, 20*time.Second)
 	c.observeWeightStoreLoad(30*time.Second, 0)
--- a/command/holder/era.go
+++ b/command/holder/era.go
@@ -9,9 +9,9 @@
 // unknownEra is the era before the first response of the store.
 const unknownEra = -1
 
-// EraBegan records the era of a response of the store. A lease of an earlier era is lost: the store has no longer
+// ObserveEra records the era of a response of the store. A lease of an earlier era is lost: the store has no longer
 // the record that names this holder and may give the lease to another instance.
-func (h *Holder) EraBegan(era int64) {
+func (h *Holder) ObserveEra(era int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.era == unknownEra {
--- a/command/holder/exchange.go
+++ b/command/holder/exchange.go
@@ -139,8 +139,8 @@
 	Revision store.Revision
 }
 
-// News is the holder's reply to the report of an instance.
-type News struct {
+// Update is the holder's reply to the report of an instance.
+type Update struct {
 	Fence     int64
 	Instances int
 	// Peers is the number of instances that are, or recently were, in the failure domain of the reporting instance.
@@ -163,12 +163,12 @@
 	// Failing is the number of the current outage in which the holder cannot reach the store, 0 if there is none.
 	Failing uint64
 	// Lease states when the holder last renewed the lease. A successor counts its waiting time from then.
-	Lease lease.Standing
+	Lease lease.RenewalAge
 }
 
 // Exchange processes the report of an instance and returns the state that the instance needs. It fails with
 // ErrNotHolder if this instance does not hold the lease.
-func (h *Holder) Exchange(r Report, now time.Time) (News, error) {
+func (h *Holder) Exchange(r Report, now time.Time) (Update, error) {
 	outage := h.currentOutage()
 	if outage != 0 && r.Reaches == outage {
 		h.startFinalRenewal()
@@ -176,27 +176,27 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.lease.Held() {
-		return News{}, ErrNotHolder
+		return Update{}, ErrNotHolder
 	}
 	h.reports.record(r.Name, r.Running, now)
-	h.fleet.SetWordAge(h.reports.reportInterval)
+	h.fleet.SetReportAge(h.reports.reportInterval)
 	h.reports.peers.recordReport(r.Name, r.Domain, now)
 	for _, a := range r.Arrivals {
-		h.fleet.Arrived(a.Model, a.Arrivals, now)
+		h.fleet.RecordArrivals(a.Model, a.Arrivals, now)
 	}
 	for _, run := range r.Running {
-		h.fleet.Used(run.Engine, run.Unit, now)
+		h.fleet.MarkUsed(run.Engine, run.Unit, now)
 	}
-	h.fleet.WaitsOnly(r.Name, r.Waiting, now)
+	h.fleet.ReplaceWaiting(r.Name, r.Waiting, now)
 	h.reports.expire(now)
 	record, _ := h.lease.Record()
 	if r.Fence != record.Fence {
 		r.SeenViews, r.SeenServers = 0, 0
 	}
-	reply := News{
+	reply := Update{
 		Fence: record.Fence, Failing: outage, Instances: len(h.reports.instances), Others: h.reports.otherInstancesLoads(r.Name, now), Servers: h.dir.Since(r.SeenServers, r.Revision),
 	}
-	reply.RemoteAtOnce = h.fleet.RemoteAtOnce()
+	reply.RemoteAtOnce = h.fleet.RemoteConcurrency()
 	reply.Lease = h.lease.RenewalAge(now)
 	reply.Admit = h.admissions(now)
 	reply.Peers = h.reports.peers.count(r.Domain, now)
--- a/command/holder/holder.go
+++ b/command/holder/holder.go
@@ -39,7 +39,7 @@
 	engines serving.Engines
 	dir     *directory.Directory
 	log     logrus.FieldLogger
-	counts  *Counts
+	counts  *Metrics
 
 	mu    sync.Mutex
 	lease *lease.Lease    // guarded by mu
@@ -88,7 +88,7 @@
 }
 
 // New returns a Holder that does not hold the lease.
-func New(p Params, s store.Store, engines serving.Engines, dir *directory.Directory, counts *Counts, log logrus.FieldLogger) *Holder {
+func New(p Params, s store.Store, engines serving.Engines, dir *directory.Directory, counts *Metrics, log logrus.FieldLogger) *Holder {
 	return &Holder{
 		params: p, store: s, engines: engines, dir: dir, log: log, counts: counts,
 		lease: lease.New(p.Lease, p.Name), fleet: replicas.NewFleet(p.Fleet), lender: quota.NewLender(p.Quota, false, nil, clock.Now()), serverLender: quota.NewLender(p.ServerQuota, false, nil, clock.Now()), serverLimits: unlimited{}, reports: newInstanceReports(), workers: map[string]*worker{},
@@ -96,19 +96,19 @@
 	}
 }
 
-// WatchStore sets the function that returns when this instance's store watches began to fail, or the zero time. It
+// SetOutageSource sets the function that returns when this instance's store watches began to fail, or the zero time. It
 // must be called before Run.
-func (h *Holder) WatchStore(outage func() time.Time) { h.outageStart = outage }
+func (h *Holder) SetOutageSource(outage func() time.Time) { h.outageStart = outage }
 
-// LimitServers sets the source of the limits that servers have announced. The holder lends those limits to
+// SetServerLimits sets the source of the limits that servers have announced. The holder lends those limits to
 // instances. It must be called before Run.
-func (h *Holder) LimitServers(source ServerLimits) { h.serverLimits = source }
+func (h *Holder) SetServerLimits(source ServerLimits) { h.serverLimits = source }
 
-// Limit sets the source of the numbers of replicas that operators allow. It must be called before Run.
-func (h *Holder) Limit(source limits.Source) { h.replicaLimits = source }
+// SetReplicaLimits sets the source of the numbers of replicas that operators allow. It must be called before Run.
+func (h *Holder) SetReplicaLimits(source limits.Source) { h.replicaLimits = source }
 
-// HeardRemoteAtOnce records the holder's estimate of News.RemoteAtOnce for the case that this instance succeeds it.
-func (h *Holder) HeardRemoteAtOnce(atOnce float64) {
+// SetRemoteConcurrency records the holder's estimate of News.RemoteAtOnce for the case that this instance succeeds it.
+func (h *Holder) SetRemoteConcurrency(atOnce float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.remoteConcurrency = atOnce
@@ -133,9 +133,9 @@
 	return h.lease.Held()
 }
 
-// Settled reports whether this instance holds the lease and the operations that earlier holders started, which
+// PriorOperationsEnded reports whether this instance holds the lease and the operations that earlier holders started, which
 // renewals of the lease do not bound, have ended or are known.
-func (h *Holder) Settled(now time.Time) bool {
+func (h *Holder) PriorOperationsEnded(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lease.PriorOperationsEnded(now)
@@ -158,7 +158,7 @@
 	h.mu.Lock()
 	h.refreshServers()
 	outage := h.suspendInOutage(now)
-	h.fleet.Running(h.reports.runningByUnit(now), now)
+	h.fleet.SetRunning(h.reports.runningByUnit(now), now)
 	operations := append(h.fleet.Trim(now), h.fleet.Dispatch(now)...)
 	uncertain := h.fleet.Unsure(now)
 	settleDue := !h.lease.Settled() && h.lease.RenewalDue(now)
@@ -212,7 +212,7 @@
 		return
 	}
 	h.serversRefreshedAt = clock.Now()
-	h.fleet.Complete(h.dir.RemovalsComplete(clock.Now()))
+	h.fleet.SetComplete(h.dir.RemovalsComplete(clock.Now()))
 	h.fleet.SetServers(h.dir.All(), func(service string) *serving.EngineSpec { return config.Services[service].Engine })
 	for _, e := range h.fleet.Engines() {
 		e.NotBefore = h.lease.OrderFrom(e.Server.ID)
@@ -296,12 +296,12 @@
 	Unit   serving.Unit
 }
 
-// Used records the start of a request before the sending instance reports it.
-func (h *Holder) Used(u Use, now time.Time) {
+// RequestStarted records the start of a request before the sending instance reports it.
+func (h *Holder) RequestStarted(u Use, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.lease.Held() {
-		h.fleet.BeganUse(u.Engine, u.Unit, now)
+		h.fleet.UseStarted(u.Engine, u.Unit, now)
 	}
 }
 
@@ -322,10 +322,10 @@
 // held.
 func (h *Holder) noteMissingUnit(id string, unit serving.Unit, now time.Time) {
 	e := h.fleet.Engine(id)
-	if e == nil || !e.Claims(unit, now) || h.fleet.Postpone(id, unit, now) {
+	if e == nil || !e.Serves(unit, now) || h.fleet.Postpone(id, unit, now) {
 		return
 	}
-	h.fleet.Doubt(id, unit)
+	h.fleet.MarkUnsure(id, unit)
 	h.log.WithFields(logrus.Fields{"engine": id, "unit": unit.String(), "sequence": e.Sequence}).Info("engine reports a unit as missing; reading the engine again")
 }
 
--- a/command/holder/lease.go
+++ b/command/holder/lease.go
@@ -22,7 +22,7 @@
 func (h *Holder) Current(ctx context.Context) (lease.Record, store.Revision, error) {
 	record, revision, err := store.Read[lease.Record](ctx, h.store, KeyLease)
 	if err == nil {
-		h.EraBegan(revision.Era())
+		h.ObserveEra(revision.Era())
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.lease.Observe(revision, clock.Exact())
@@ -30,15 +30,15 @@
 	return record, revision, err
 }
 
-// Heard records what another instance reported about the lease.
-func (h *Holder) Heard(s lease.Standing) {
+// ObserveRemote records what another instance reported about the lease.
+func (h *Holder) ObserveRemote(s lease.RenewalAge) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lease.ObserveRemote(s, clock.Exact())
 }
 
-// Standing returns what this instance reports about the lease to others.
-func (h *Holder) Standing() lease.Standing {
+// RenewalAge returns what this instance reports about the lease to others.
+func (h *Holder) RenewalAge() lease.RenewalAge {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lease.RenewalAge(clock.Now())
@@ -65,10 +65,10 @@
 	orderFrom := h.lease.OrderFrom("")
 	h.fleet = replicas.NewFleet(h.params.Fleet)
 	h.fleet.SetLimits(h.replicaLimits)
-	h.fleet.LearnRemoteAtOnce(h.remoteConcurrency)
+	h.fleet.SetRemoteConcurrency(h.remoteConcurrency)
 	h.reports, h.views = newInstanceReports(), views{}
-	firstHolder, remaining := current.Fence == 0 && !current.CameBack(era), current.Left
-	if current.CameBack(era) {
+	firstHolder, remaining := current.Fence == 0 && !current.RestoredFromBackup(era), current.Left
+	if current.RestoredFromBackup(era) {
 		remaining = nil
 	}
 	h.lender = quota.NewLender(h.params.Quota, firstHolder, remaining, clock.Now())
@@ -190,22 +190,22 @@
 	h.surrendered = record
 }
 
-// GaveUp returns the released record under which this instance has promised to send no more orders. It returns the
+// SurrenderedRecord returns the released record under which this instance has promised to send no more orders. It returns the
 // zero Record if there is none.
-func (h *Holder) GaveUp() lease.Record {
+func (h *Holder) SurrenderedRecord() lease.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.surrendered
 }
 
-// SuccessionTime returns the time from the last renewal of a lost holder to the first order of its successor.
-func (h *Holder) SuccessionTime() time.Duration {
+// TakeOverDelay returns the time from the last renewal of a lost holder to the first order of its successor.
+func (h *Holder) TakeOverDelay() time.Duration {
 	return h.params.Lease.Validity + h.params.Lease.Settle
 }
 
-// Deposed records that another instance has the given fencing token. The lease is lost if that token is higher than
+// ObserveFence records that another instance has the given fencing token. The lease is lost if that token is higher than
 // this instance's.
-func (h *Holder) Deposed(fence int64) {
+func (h *Holder) ObserveFence(fence int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	record, _ := h.lease.Record()
--- a/command/holder/lend.go
+++ b/command/holder/lend.go
@@ -8,9 +8,9 @@
 
 // ServerLimits provides the request limits that servers have announced.
 type ServerLimits interface {
-	// Lent returns the limit of a server that is lent to instances, for a while also after the limit has ended. ok is
+	// LendableLimit returns the limit of a server that is lent to instances, for a while also after the limit has ended. ok is
 	// false if there is none.
-	Lent(server string) (limit serving.Limit, ok bool)
+	LendableLimit(server string) (limit serving.Limit, ok bool)
 	// Limited reports whether a server has a limit now. Any reports whether any server has one.
 	Limited(server string) bool
 	Any() bool
@@ -19,9 +19,9 @@
 // unlimited is the ServerLimits of servers without limits.
 type unlimited struct{}
 
-func (unlimited) Lent(string) (serving.Limit, bool) { return serving.Limit{}, false }
-func (unlimited) Limited(string) bool               { return false }
-func (unlimited) Any() bool                         { return false }
+func (unlimited) LendableLimit(string) (serving.Limit, bool) { return serving.Limit{}, false }
+func (unlimited) Limited(string) bool                        { return false }
+func (unlimited) Any() bool                                  { return false }
 
 // Uses is the usage of limits that an instance reports, of workspaces and of servers (by server id).
 type Uses struct{ Workspaces, Servers []quota.Use }
@@ -41,11 +41,11 @@
 	}
 	if !h.lease.MayLend(now) {
 		h.lender.RecordReport(instance, uses.Workspaces, h.limitOf, now)
-		h.serverLender.RecordReport(instance, uses.Servers, h.serverLimits.Lent, now)
+		h.serverLender.RecordReport(instance, uses.Servers, h.serverLimits.LendableLimit, now)
 		return loans, false
 	}
 	loans.Workspaces = h.lender.Lend(instance, uses.Workspaces, h.limitOf, now)
-	loans.Servers = h.serverLender.Lend(instance, uses.Servers, h.serverLimits.Lent, now)
+	loans.Servers = h.serverLender.Lend(instance, uses.Servers, h.serverLimits.LendableLimit, now)
 	return loans, true
 }
 
@@ -59,7 +59,7 @@
 	if !h.lease.MayLend(now) {
 		return quota.Answer{}
 	}
-	limit, ok := h.serverLimits.Lent(server)
+	limit, ok := h.serverLimits.LendableLimit(server)
 	if !ok || !h.serverLimits.Limited(server) {
 		return quota.Answer{Granted: true, Known: true} // a newer response shows that the limit has ended
 	}
--- a/command/holder/limit.go
+++ b/command/holder/limit.go
@@ -86,7 +86,7 @@
 	fleet := w.h.fleet
 	sequence = fleet.Engine(w.engine).Sequence
 	next, ok = record.Grant(limit, w.engine, sequence, fleet.Holders(op.Load.Model, w.engine), func(id string) limits.Engine {
-		return fleet.Known(id, op.Load.Model)
+		return fleet.LimitState(id, op.Load.Model)
 	})
 	return next, sequence, ok
 }
--- a/command/holder/limit_test.go
+++ b/command/holder/limit_test.go
@@ -114,8 +114,8 @@
 	}}
 	params := DefaultParams("a", "a:1", time.Millisecond)
 	params.ReportLag = time.Millisecond
-	h = New(params, hooked, engine, dir, NewCounts(metrics.NewSet()), log)
-	h.Limit(oneReplica{})
+	h = New(params, hooked, engine, dir, NewMetrics(metrics.NewSet()), log)
+	h.SetReplicaLimits(oneReplica{})
 	if err := h.TakeOver(t.Context(), lease.Record{}, 0, "test"); err != nil {
 		t.Fatal(err)
 	}
--- a/command/holder/outage_test.go
+++ b/command/holder/outage_test.go
@@ -136,7 +136,7 @@
 			time.Sleep(200 * time.Millisecond)
 			h.mu.Lock()
 			e := h.fleet.Engine("e")
-			failing := e.Unsure || time.Now().Before(e.Failing)
+			failing := e.Unsure || time.Now().Before(e.FailingUntil)
 			h.mu.Unlock()
 			if failing {
 				t.Fatal("the engine is avoided while its unload waits")
--- a/command/holder/renewal_test.go
+++ b/command/holder/renewal_test.go
@@ -41,7 +41,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Heard(reply.Lease)
+			b.ObserveRemote(reply.Lease)
 		}
 		kill()
 		killed := time.Now()
--- a/command/holder/succession_test.go
+++ b/command/holder/succession_test.go
@@ -60,7 +60,7 @@
 	dir.ApplyServer(serving.Server{ID: "e", Service: "llm", Revision: 1, Tiers: tiers}, time.Now())
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return New(DefaultParams(name, name+":1", settle), platform, engine, dir, NewCounts(metrics.NewSet()), log)
+	return New(DefaultParams(name, name+":1", settle), platform, engine, dir, NewMetrics(metrics.NewSet()), log)
 }
 
 // requestModelsInTurn requests the models in turn until ctx ends. Only one fits on the engine, so each turn causes a
--- a/command/holder/worker.go
+++ b/command/holder/worker.go
@@ -172,7 +172,7 @@
 	}
 	now := clock.Now()
 	w.h.mu.Lock()
-	w.h.fleet.Began(op, unloaded, refused, now)
+	w.h.fleet.LoadAccepted(op, unloaded, refused, now)
 	w.h.mu.Unlock()
 	if op.Remote {
 		err := w.awaitRemote(op, now.Add(op.Duration))
@@ -242,7 +242,7 @@
 			return errors.Wrapf(errEngine, "engine is idle and has not loaded %s", op.Load)
 		}
 		w.h.mu.Lock()
-		ready = w.h.fleet.Lasts(op, clock.Now())
+		ready = w.h.fleet.StillLoading(op, clock.Now())
 		w.h.mu.Unlock()
 	}
 	return errors.Wrapf(errEngine, "%s not loaded before the deadline %s", op.Load, deadline)
@@ -276,7 +276,7 @@
 		}
 		w.h.mu.Lock()
 		if err == nil {
-			w.h.fleet.BusyElsewhere(w.engine, clock.Now())
+			w.h.fleet.BusyWithInheritedOrder(w.engine, clock.Now())
 		} else { // its models are not known, so requests are sent elsewhere
 			w.h.fleet.Unreachable(w.engine, clock.Now())
 		}
--- a/command/lease/era_test.go
+++ b/command/lease/era_test.go
@@ -28,8 +28,8 @@
 // TestFencingTokensUniqueAcrossEras: the record in a restored backup has an old fencing token or none. The tokens
 // issued after the restore must still be higher than all tokens of earlier eras.
 func TestFencingTokensUniqueAcrossEras(t *testing.T) {
-	before := New(testParams, "b").Candidate(Record{Fence: FirstFence(2) + 1000, Era: 2}, 2, "")
-	for _, copied := range []Record{{}, {Fence: 1}, {Fence: FirstFence(2) + 7, Era: 2}} {
+	before := New(testParams, "b").Candidate(Record{Fence: FenceBase(2) + 1000, Era: 2}, 2, "")
+	for _, copied := range []Record{{}, {Fence: 1}, {Fence: FenceBase(2) + 7, Era: 2}} {
 		if next := New(testParams, "c").Candidate(copied, 3, ""); next.Fence <= before.Fence {
 			t.Errorf("token %d after %d", next.Fence, before.Fence)
 		}
--- a/command/lease/lease.go
+++ b/command/lease/lease.go
@@ -104,7 +104,7 @@
 
 // Candidate returns the record to write in place of current in order to take over, in the given era of the store.
 func (l *Lease) Candidate(current Record, era int64, address string) Record {
-	fence := max(current.Fence, FirstFence(era)) + 1
+	fence := max(current.Fence, FenceBase(era)) + 1
 	current = current.inEra(era)
 	candidate := Record{Holder: l.self, Address: address, Fence: fence, Era: era, Settled: l.noOtherHolderMayOrder(current), Renewals: 1}
 	if current.Fence != 0 && current.Renewals == 0 {
--- a/command/lease/lease_test.go
+++ b/command/lease/lease_test.go
@@ -47,9 +47,9 @@
 		{"renewals that change nothing", 0, 7, 2 * time.Second, fullWait},
 	} {
 		b := New(testParams, "b")
-		b.ObserveRemote(Standing{Revision: 7, Age: c.age}, now)
-		b.ObserveRemote(Standing{Revision: 7, Age: 0}, now)           // from an instance that learned of it later
-		b.ObserveRemote(Standing{Revision: 6, Age: time.Minute}, now) // of a replaced revision
+		b.ObserveRemote(RenewalAge{Revision: 7, Age: c.age}, now)
+		b.ObserveRemote(RenewalAge{Revision: 7, Age: 0}, now)           // from an instance that learned of it later
+		b.ObserveRemote(RenewalAge{Revision: 6, Age: time.Minute}, now) // of a replaced revision
 		b.Acquired(Record{Holder: "a", Fence: 1, Renewals: c.renewals}, c.replaced, Record{Holder: "b", Fence: 2}, 9, now, now)
 		if got := b.OrderFrom("e").Sub(now); got != c.want {
 			t.Errorf("%s: orders after %v, want %v", c.what, got, c.want)
@@ -241,7 +241,7 @@
 // sentObservation is a report from one instance to another.
 type sentObservation struct {
 	to         string
-	renewalAge Standing
+	renewalAge RenewalAge
 }
 
 func (m *leaseModel) step(t *rapid.T) {
--- a/command/lease/observation.go
+++ b/command/lease/observation.go
@@ -24,9 +24,9 @@
 	return s.At.Before(other.At)
 }
 
-// Standing is an observation sent to another instance, which has a different clock. Age is a lower bound of the time
+// RenewalAge is an observation sent to another instance, which has a different clock. Age is a lower bound of the time
 // between sending the renewal and sending this message.
-type Standing struct {
+type RenewalAge struct {
 	Revision store.Revision
 	Age      time.Duration
 }
@@ -39,17 +39,17 @@
 }
 
 // ObserveRemote records what another instance reported in a response that arrived at now.
-func (l *Lease) ObserveRemote(s Standing, now time.Time) {
+func (l *Lease) ObserveRemote(s RenewalAge, now time.Time) {
 	l.Observe(s.Revision, now.Add(-max(0, s.Age)))
 }
 
 // RenewalAge returns what to report to other instances at now. A holder knows when it last renewed the lease; other
 // instances report what they have observed.
-func (l *Lease) RenewalAge(now time.Time) Standing {
+func (l *Lease) RenewalAge(now time.Time) RenewalAge {
 	if l.held {
-		return Standing{Revision: l.revision, Age: max(0, now.Sub(l.renewed))}
+		return RenewalAge{Revision: l.revision, Age: max(0, now.Sub(l.renewed))}
 	}
-	return Standing{Revision: l.latest.Revision, Age: max(0, now.Sub(l.latest.At))}
+	return RenewalAge{Revision: l.latest.Revision, Age: max(0, now.Sub(l.latest.At))}
 }
 
 // lastRenewal returns the latest time at which the holder that was replaced at replacedRevision can have sent
--- a/command/replicas/adapters.go
+++ b/command/replicas/adapters.go
@@ -80,7 +80,7 @@
 		delete(e.Copies[r.victim.Model].Adapters, r.victim.Adapter)
 	}
 	c.Adapters[unit.Adapter] = &Adapter{Ready: op.Ready, OriginalReady: op.Ready, LastUsed: now, loading: true}
-	return Found{Engine: e.Server.ID, Ready: op.Ready, Start: &op, For: serving.WaitAdapter}
+	return Found{Engine: e.Server.ID, Ready: op.Ready, Start: &op, WaitReason: serving.WaitAdapter}
 }
 
 // adapterLoadPending reports whether adapter loads on the engine must finish before the next model load may start.
--- a/command/replicas/adapters_test.go
+++ b/command/replicas/adapters_test.go
@@ -37,7 +37,7 @@
 	for _, s := range servers {
 		f.Adopt(s.ID, serving.Report{Models: s.Models}, now)
 	}
-	f.Complete(true)
+	f.SetComplete(true)
 	f.params.RemoteOverage = remoteOverage
 	f.refillRemoteTokens(f.remoteUse(), now.Add(-time.Hour)) // fills the token bucket
 	f.refillRemoteTokens(f.remoteUse(), now)
@@ -147,7 +147,7 @@
 	}
 	e := f.Engine("a-engine")
 	for _, other := range []string{"m2", "m3"} {
-		f.Arrived(other, arrivals(9), now)
+		f.RecordArrivals(other, arrivals(9), now)
 	}
 	now = now.Add(time.Second)
 	swap := requestModel(t, f, "m4", now)
@@ -163,7 +163,7 @@
 		t.Error("adapter operation is still current although the copy that it was planned on is gone")
 	}
 	f.Failed(*found.Start, now)
-	if e.Unsure || now.Before(e.Failing) {
+	if e.Unsure || now.Before(e.FailingUntil) {
 		t.Error("engine is skipped after the failure of a void operation")
 	}
 }
@@ -174,7 +174,7 @@
 func TestPendingAdapterLoadDelaysModelLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
-	f.Arrived("m1", arrivals(99), now)
+	f.RecordArrivals("m1", arrivals(99), now)
 	found, _ := f.Find("llm", serving.Unit{Model: "m1", Adapter: "a1"}, Waiting{}, now)
 	if operations := requestModel(t, f, "m4", now); len(operations) > 0 {
 		t.Fatalf("%+v planned before the adapter was loaded", operations)
--- a/command/replicas/admit.go
+++ b/command/replicas/admit.go
@@ -59,7 +59,7 @@
 func (f *Fleet) loadOf(model string, now time.Time) (load float64, known bool) {
 	running, slots := 0, 0
 	for _, e := range f.holding(model) {
-		if e.Copies[model].State != Resident || e.Server.Draining || now.Before(e.Failing) {
+		if e.Copies[model].State != Resident || e.Server.Draining || now.Before(e.FailingUntil) {
 			continue
 		}
 		slots += slotsOf(e)
--- a/command/replicas/admit_test.go
+++ b/command/replicas/admit_test.go
@@ -136,9 +136,9 @@
 		e.Server.Slots = admitSlots
 	}
 	for _, model := range []string{"m1", "m2"} {
-		f.Arrived(model, Arrivals{Count: 100, Weight: 100, Deferrable: 100, Served: 40}, now)
+		f.RecordArrivals(model, Arrivals{Count: 100, Weight: 100, Deferrable: 100, Served: 40}, now)
 	}
-	f.Arrived("m3", Arrivals{Count: 1, Weight: 1, Deferrable: 1}, now)
+	f.RecordArrivals("m3", Arrivals{Count: 1, Weight: 1, Deferrable: 1}, now)
 	f.Engine("a-engine").Copies["m1"].Running = 2 * admitSlots
 	f.Engine("b-engine").Copies["m2"].Running = admitSlots / 2
 	shares := f.Admissions(now)
--- a/command/replicas/demand.go
+++ b/command/replicas/demand.go
@@ -18,8 +18,8 @@
 	Deferrable, Served int
 }
 
-// Arrived records requests for a model.
-func (f *Fleet) Arrived(model string, a Arrivals, now time.Time) {
+// RecordArrivals records requests for a model.
+func (f *Fleet) RecordArrivals(model string, a Arrivals, now time.Time) {
 	f.decay(now)
 	d := f.demand[model]
 	if d == nil {
@@ -37,9 +37,9 @@
 // runningWindow is the time constant for smoothing the number of concurrent requests.
 const runningWindow = 2 * time.Second
 
-// Running sets the number of running requests of all instances, by engine and unit. Units that are not in counts have
+// SetRunning sets the number of running requests of all instances, by engine and unit. Units that are not in counts have
 // none.
-func (f *Fleet) Running(counts map[string]map[serving.Unit]int, now time.Time) {
+func (f *Fleet) SetRunning(counts map[string]map[serving.Unit]int, now time.Time) {
 	totals := map[string]int{}
 	for id, e := range f.engines {
 		for model, c := range e.Copies {
--- a/command/replicas/dispatch.go
+++ b/command/replicas/dispatch.go
@@ -15,8 +15,8 @@
 	Ready time.Time
 	// Start, if set, is the operation that must be carried out for the unit.
 	Start *Operation
-	// For is what the request waits for until Ready.
-	For serving.Wait
+	// WaitReason is what the request waits for until Ready.
+	WaitReason serving.Wait
 }
 
 // Find returns where a unit of a service is loaded or will be. A model that no engine has becomes wanted; Dispatch
@@ -47,7 +47,7 @@
 		}
 		w.estimatedReady = ready
 	}
-	return Found{Ready: w.estimatedReady, For: w.waitReason}, true
+	return Found{Ready: w.estimatedReady, WaitReason: w.waitReason}, true
 }
 
 // estimateReady returns when a wanted model is expected to be ready. ok is false if no engine can load it.
@@ -199,7 +199,7 @@
 			ready = now.Add(postponeInterval)
 		}
 		if !ok || ready.Before(best.Ready) {
-			best, ok = Found{Engine: e.Server.ID, Ready: ready, For: serving.WaitLoad}, true
+			best, ok = Found{Engine: e.Server.ID, Ready: ready, WaitReason: serving.WaitLoad}, true
 			chosen = c
 		}
 	}
--- a/command/replicas/eviction.go
+++ b/command/replicas/eviction.go
@@ -30,8 +30,8 @@
 	return 1 - math.Exp(-f.demandOf(model).Rate*f.reportAge.Seconds()/copies)
 }
 
-// SetWordAge sets the usual maximum age of the instances' reports of running requests.
-func (f *Fleet) SetWordAge(age time.Duration) { f.reportAge = age }
+// SetReportAge sets the usual maximum age of the instances' reports of running requests.
+func (f *Fleet) SetReportAge(age time.Duration) { f.reportAge = age }
 
 // victims returns the copies of an engine that may be evicted, cheapest per MB first: all resident ones. The value of a
 // copy that is in use, or that requests wait for, is part of its cost and wait.
--- a/command/replicas/fleet.go
+++ b/command/replicas/fleet.go
@@ -92,9 +92,9 @@
 	// inheritedBusySince is since when an Unsure engine has been carrying out an order of a previous holder, zero if it
 	// is not.
 	inheritedBusySince time.Time
-	// Failing is until when the engine is skipped after failed orders.
-	Failing  time.Time
-	failures int
+	// FailingUntil is until when the engine is skipped after failed orders.
+	FailingUntil time.Time
+	failures     int
 	// heldBackUntil is until when the engine accepts no additional requests for its units, see HoldBack.
 	heldBackUntil time.Time
 	// generation counts how often the record was replaced or found to be wrong. Operations of an earlier generation are
@@ -145,7 +145,7 @@
 // NewFleet returns a Fleet without engines.
 func NewFleet(p Params) *Fleet {
 	return &Fleet{params: p, engines: map[string]*Engine{}, demand: map[string]*Demand{}, wantedModels: map[string]*wantedModel{}, limits: limits.None{},
-		store: weightStore{fullSpeedLoads: p.RemoteAtOnce}, unloadTimes: unloadTimes{idle: p.UnloadTime, inUse: p.RunningWait}}
+		store: weightStore{fullSpeedLoads: p.RemoteConcurrency}, unloadTimes: unloadTimes{idle: p.UnloadTime, inUse: p.RunningWait}}
 }
 
 // SetLimits sets the source of the operators' limits.
@@ -276,5 +276,5 @@
 
 // acceptsRequests reports whether the engine accepts requests for its units.
 func (e *Engine) acceptsRequests(now time.Time) bool {
-	return !e.Server.Draining && !now.Before(e.Failing) && !now.Before(e.heldBackUntil)
+	return !e.Server.Draining && !now.Before(e.FailingUntil) && !now.Before(e.heldBackUntil)
 }
--- a/command/replicas/hostmemory_test.go
+++ b/command/replicas/hostmemory_test.go
@@ -57,10 +57,10 @@
 		}
 		missing = op.Unload[0].Model
 		f.Unloaded(op, op.Unload[0])
-		f.Began(op, time.Time{}, 0, now)
+		f.LoadAccepted(op, time.Time{}, 0, now)
 		f.Done(op, now.Add(op.Duration))
 		f.Postpone(op.Engine, op.Load, now.Add(op.Duration+10*time.Millisecond))
-		f.WaitsOnly("instance", nil, now)
+		f.ReplaceWaiting("instance", nil, now)
 		now = now.Add(10 * time.Second)
 	}
 }
--- a/command/replicas/inuse_test.go
+++ b/command/replicas/inuse_test.go
@@ -12,7 +12,7 @@
 func TestFoundCopyCountsAsInUse(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
-	f.SetWordAge(time.Second)
+	f.SetReportAge(time.Second)
 	for _, model := range []string{"m1", "m3"} {
 		f.Find("llm", serving.Unit{Model: model}, Waiting{}, now)
 	}
@@ -21,7 +21,7 @@
 		t.Fatalf("%+v, want m2 evicted without waiting for requests", operations)
 	}
 	f = testFleet(now, testSpec("m1", "m2"), []string{"m1"})
-	f.SetWordAge(time.Second)
+	f.SetReportAge(time.Second)
 	f.Find("llm", serving.Unit{Model: "m1"}, Waiting{}, now)
 	c := f.Engine("a-engine").Copies["m1"]
 	if use := f.useProbability(c, "m1", now.Add(900*time.Millisecond)); use != 1 {
@@ -37,7 +37,7 @@
 func TestLoadedCopyCountsAsInUse(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4", "m5"), []string{"m1", "m2", "m3"})
-	f.SetWordAge(time.Second)
+	f.SetReportAge(time.Second)
 	operations := requestModel(t, f, "m4", now)
 	if len(operations) != 1 {
 		t.Fatalf("%+v, want m4 loaded", operations)
@@ -57,10 +57,10 @@
 func TestBeganUseCountsBeforeReports(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
-	f.SetWordAge(time.Second)
-	f.BeganUse("a-engine", serving.Unit{Model: "m1"}, now)
-	f.BeganUse("a-engine", serving.Unit{Model: "m2"}, now)
-	f.BeganUse("gone", serving.Unit{Model: "m2"}, now)
+	f.SetReportAge(time.Second)
+	f.UseStarted("a-engine", serving.Unit{Model: "m1"}, now)
+	f.UseStarted("a-engine", serving.Unit{Model: "m2"}, now)
+	f.UseStarted("gone", serving.Unit{Model: "m2"}, now)
 	operations := requestModel(t, f, "m4", now)
 	if len(operations) != 1 || operations[0].Unload[0].Model != "m3" || operations[0].InUse {
 		t.Errorf("%+v, want m3 evicted without waiting for requests", operations)
--- a/command/replicas/limit.go
+++ b/command/replicas/limit.go
@@ -7,10 +7,10 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Complete sets whether engines that are not in the Fleet are known not to exist. Until then no model with a replica
+// SetComplete sets whether engines that are not in the Fleet are known not to exist. Until then no model with a replica
 // limit is loaded, since an unknown engine may hold a replica. Otherwise an instance that starts while the entry of an
 // engine is missing would load a second replica of a model that is limited to one (3 of 3 runs of its test).
-func (f *Fleet) Complete(complete bool) { f.complete = complete }
+func (f *Fleet) SetComplete(complete bool) { f.complete = complete }
 
 // permitted reports whether the operators' limits allow one more copy of a model, on this engine. Copies count in every
 // state, also those on failing or draining engines.
@@ -36,8 +36,8 @@
 	return ids
 }
 
-// Known returns what is known of a model on an engine.
-func (f *Fleet) Known(id, model string) limits.Engine {
+// LimitState returns what is known of a model on an engine.
+func (f *Fleet) LimitState(id, model string) limits.Engine {
 	e := f.engines[id]
 	if e == nil {
 		return limits.Engine{Exists: !f.complete}
--- a/command/replicas/limit_test.go
+++ b/command/replicas/limit_test.go
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"}, []string{"m2"})
 			f.SetLimits(c.source)
-			f.Arrived(c.model, arrivals(40), now)
+			f.RecordArrivals(c.model, arrivals(40), now)
 			f.Find("llm", serving.Unit{Model: c.model}, oneWaiting(1), now)
 			if n := len(append(f.Dispatch(now), f.Dispatch(now.Add(proactiveInterval))...)); n != c.want {
 				t.Errorf("%d operations, want %d", n, c.want)
@@ -78,8 +78,8 @@
 func TestUnknownEngine(t *testing.T) {
 	f := NewFleet(DefaultParams())
 	for _, complete := range []bool{false, true} {
-		f.Complete(complete)
-		if got := f.Known("e", "m").Exists; got == complete {
+		f.SetComplete(complete)
+		if got := f.LimitState("e", "m").Exists; got == complete {
 			t.Errorf("complete: %v, the engine exists: %v", complete, got)
 		}
 	}
--- a/command/replicas/params.go
+++ b/command/replicas/params.go
@@ -27,9 +27,9 @@
 	AdapterTime time.Duration
 	// RemoteWindow is the window over which loads from the weight store are counted.
 	RemoteWindow time.Duration
-	// RemoteAtOnce is the number of concurrent loads from the weight store that are tried while its speed is unknown: a
+	// RemoteConcurrency is the number of concurrent loads from the weight store that are tried while its speed is unknown: a
 	// second load shows whether concurrent loads share the bandwidth.
-	RemoteAtOnce float64
+	RemoteConcurrency float64
 	// RemoteOverage times the weight store's rate over the window, plus RemoteExtra, is the maximum number of loads that
 	// may start within a window, across all lease holders.
 	RemoteOverage, RemoteExtra float64
@@ -52,6 +52,6 @@
 		RunningWait: 2 * time.Second, OrderTime: 30 * time.Millisecond, UnloadTime: 60 * time.Millisecond,
 		AdapterTime: 80 * time.Millisecond, AdapterKeepTime: time.Second,
 		CopyShare: 0.5, SpareRate: 1.5, EngineTimeCost: 0.5,
-		RemoteWindow: 5 * time.Second, RemoteAtOnce: 2, RemoteOverage: 1, RemoteExtra: 3,
+		RemoteWindow: 5 * time.Second, RemoteConcurrency: 2, RemoteOverage: 1, RemoteExtra: 3,
 	}
 }
--- a/command/replicas/place_test.go
+++ b/command/replicas/place_test.go
@@ -44,13 +44,13 @@
 func TestIdleCopyIsEvictedFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
-	f.Running(map[string]map[serving.Unit]int{"a-engine": {{Model: "m1"}: 1, {Model: "m3"}: 2}}, now)
+	f.SetRunning(map[string]map[serving.Unit]int{"a-engine": {{Model: "m1"}: 1, {Model: "m3"}: 2}}, now)
 	operations := requestModel(t, f, "m4", now)
 	if len(operations) != 1 || len(operations[0].Unload) != 1 || operations[0].Unload[0].Model != "m2" || operations[0].InUse {
 		t.Fatalf("%+v, want m2 evicted", operations)
 	}
 	f = testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
-	f.Running(map[string]map[serving.Unit]int{"a-engine": {{Model: "m1"}: 1, {Model: "m2"}: 1, {Model: "m3"}: 1}}, now)
+	f.SetRunning(map[string]map[serving.Unit]int{"a-engine": {{Model: "m1"}: 1, {Model: "m2"}: 1, {Model: "m3"}: 1}}, now)
 	operations = requestModel(t, f, "m4", now.Add(time.Minute))
 	if len(operations) != 1 || !operations[0].InUse || operations[0].Ready.Sub(now.Add(time.Minute)) < f.unloadTimes.inUse+time.Second {
 		t.Errorf("%+v, want a copy in use evicted after its requests", operations)
@@ -70,7 +70,7 @@
 			now = now.Add(500 * time.Millisecond)
 			for _, model := range []string{"m1", "m2", "m3"} {
 				if i%c.every == 0 {
-					f.Arrived(model, arrivals(c.each), now)
+					f.RecordArrivals(model, arrivals(c.each), now)
 				}
 			}
 		}
@@ -88,7 +88,7 @@
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
 		for _, model := range []string{"m1", "m2", "m3", "m4"} {
-			f.Arrived(model, arrivals(1), now)
+			f.RecordArrivals(model, arrivals(1), now)
 		}
 	}
 	if operations := f.Dispatch(now); len(operations) > 0 {
@@ -160,10 +160,10 @@
 	for busy, want := range map[string]int{"": 1, "large": 2} {
 		f := testFleet(now, spec, []string{"small1", "small2", "large"})
 		for _, model := range []string{"small1", "small2", "large"} {
-			f.Arrived(model, arrivals(1), now)
+			f.RecordArrivals(model, arrivals(1), now)
 		}
 		if busy != "" {
-			f.Arrived(busy, arrivals(20), now)
+			f.RecordArrivals(busy, arrivals(20), now)
 		}
 		f.Find("llm", serving.Unit{Model: "wanted"}, oneWaiting(100), now)
 		operations := f.Dispatch(now)
@@ -227,8 +227,8 @@
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"}, []string{"m2", "m3", "m4"}, []string{"m2", "m3", "m4"})
 	for range 40 {
 		now = now.Add(50 * time.Millisecond)
-		f.Arrived("m1", arrivals(2), now)
-		f.Running(map[string]map[serving.Unit]int{"a-engine": {{Model: "m1"}: 40}}, now)
+		f.RecordArrivals("m1", arrivals(2), now)
+		f.SetRunning(map[string]map[serving.Unit]int{"a-engine": {{Model: "m1"}: 40}}, now)
 		for _, op := range f.Dispatch(now) {
 			f.Done(op, now)
 		}
@@ -243,7 +243,7 @@
 func TestDemandLoadsFirstCopy(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
-	f.Arrived("m4", arrivals(40), now)
+	f.RecordArrivals("m4", arrivals(40), now)
 	if operations := f.Dispatch(now); len(operations) != 1 || operations[0].Load.Model != "m4" {
 		t.Errorf("%+v, want m4 loaded", operations)
 	}
@@ -257,7 +257,7 @@
 		f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"}, held)
 		clear(f.Engine("b-engine").Tiers)
 		f.index = index{}
-		f.Arrived("m1", arrivals(40), now)
+		f.RecordArrivals("m1", arrivals(40), now)
 		operations := f.Dispatch(now)
 		if held == nil && (len(operations) != 1 || operations[0].Engine != "b-engine" || !operations[0].Remote) {
 			t.Errorf("%+v, want m1 from the weight store on the new engine", operations)
--- a/command/replicas/progress.go
+++ b/command/replicas/progress.go
@@ -131,7 +131,7 @@
 func (e *Engine) fail(now time.Time) {
 	e.generation++
 	e.Unsure = true
-	e.Failing = now.Add(min(maxFailureBackoff, failureBackoff<<min(e.failures, 8)))
+	e.FailingUntil = now.Add(min(maxFailureBackoff, failureBackoff<<min(e.failures, 8)))
 	e.failures++
 }
 
@@ -141,7 +141,7 @@
 // Unreachable records that an instance could not connect to an engine.
 func (f *Fleet) Unreachable(id string, now time.Time) {
 	if e := f.engines[id]; e != nil {
-		e.Failing = later(e.Failing, now.Add(unreachableBackoff))
+		e.FailingUntil = later(e.FailingUntil, now.Add(unreachableBackoff))
 	}
 }
 
@@ -194,9 +194,9 @@
 	return true
 }
 
-// Doubt marks an engine to be read again because it lacks a unit that it should have. Until then the unit gets no
+// MarkUnsure marks an engine to be read again because it lacks a unit that it should have. Until then the unit gets no
 // requests, but its memory stays counted.
-func (f *Fleet) Doubt(id string, unit serving.Unit) {
+func (f *Fleet) MarkUnsure(id string, unit serving.Unit) {
 	e := f.engines[id]
 	if e == nil {
 		return
--- a/command/replicas/progress_test.go
+++ b/command/replicas/progress_test.go
@@ -13,7 +13,7 @@
 func TestUnreachableUnsureEngineIsSkipped(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1"}, []string{"m2"})
-	f.Doubt("a-engine", serving.Unit{Model: "m1"})
+	f.MarkUnsure("a-engine", serving.Unit{Model: "m1"})
 	f.Unreachable("a-engine", now)
 	if units := f.Engine("a-engine").Units(now); len(units) != 0 {
 		t.Errorf("units %v are offered to instances", units)
@@ -34,7 +34,7 @@
 	f.Done(*found.Start, now)
 	before := f.Engine("a-engine").memoryMB()
 	for _, unit := range []serving.Unit{{Model: "m1"}, adapter} {
-		f.Doubt("a-engine", unit)
+		f.MarkUnsure("a-engine", unit)
 		if found, ok := f.Find("llm", unit, Waiting{}, now); ok && found.Engine == "a-engine" {
 			t.Errorf("%s: found on the engine that lacks it", unit)
 		}
--- a/command/replicas/remotelimiter_test.go
+++ b/command/replicas/remotelimiter_test.go
@@ -51,7 +51,7 @@
 		for name := range spec.Models {
 			f.Find("llm", serving.Unit{Model: name}, oneWaiting(1), at)
 			for _, op := range f.Dispatch(at) {
-				f.Began(op, time.Time{}, 0, at)
+				f.LoadAccepted(op, time.Time{}, 0, at)
 				started++
 			}
 		}
@@ -180,7 +180,7 @@
 		s.holds[id][p.op.Load.Model] = nil
 		s.busy[id] = now.Add(p.op.Duration)
 		s.fleet.Ordered(id)
-		s.fleet.Began(p.op, time.Time{}, 0, now)
+		s.fleet.LoadAccepted(p.op, time.Time{}, 0, now)
 		if p.op.Remote {
 			s.started = append(s.started, now)
 		}
@@ -300,11 +300,11 @@
 	op := s.pending[s.engines[0]].op
 	earlier := op
 	earlier.generation--
-	s.fleet.Began(earlier, time.Time{}, 0, now)
+	s.fleet.LoadAccepted(earlier, time.Time{}, 0, now)
 	if n := pending(); n != 1 {
 		t.Errorf("%d tokens reserved, want 1 for the second load, which has not started", n)
 	}
-	s.fleet.Began(op, time.Time{}, 0, now)
+	s.fleet.LoadAccepted(op, time.Time{}, 0, now)
 	if n := pending(); n != 0 {
 		t.Errorf("%d tokens reserved after the second load has started", n)
 	}
--- a/command/replicas/view.go
+++ b/command/replicas/view.go
@@ -11,7 +11,7 @@
 // Units returns the units of the engine that requests may be sent to, now or once they are ready.
 func (e *Engine) Units(now time.Time) []directory.UnitView {
 	var units []directory.UnitView
-	if e.Unsure && now.Before(e.Failing) {
+	if e.Unsure && now.Before(e.FailingUntil) {
 		return units // its units are not known, and requests would be refused
 	}
 	for model, c := range e.Copies {
@@ -48,8 +48,8 @@
 	return time.Time{}
 }
 
-// Claims reports whether, according to the record, the engine serves the unit now.
-func (e *Engine) Claims(unit serving.Unit, now time.Time) bool {
+// Serves reports whether, according to the record, the engine serves the unit now.
+func (e *Engine) Serves(unit serving.Unit, now time.Time) bool {
 	c := e.Copies[unit.Model]
 	if c == nil || c.State == Unloading || now.Before(c.Ready) {
 		return false
@@ -78,17 +78,17 @@
 	return e != nil && e.Unsure && !now.Before(e.readableAt)
 }
 
-// BeganUse records that a request has started on a unit of an engine, which the instances' reports do not include yet.
-func (f *Fleet) BeganUse(id string, unit serving.Unit, now time.Time) {
+// UseStarted records that a request has started on a unit of an engine, which the instances' reports do not include yet.
+func (f *Fleet) UseStarted(id string, unit serving.Unit, now time.Time) {
 	if e := f.engines[id]; e != nil && e.Copies[unit.Model] != nil {
 		c := e.Copies[unit.Model]
 		c.inUseUntil = later(c.inUseUntil, now.Add(f.reportAge))
 	}
-	f.Used(id, unit, now)
+	f.MarkUsed(id, unit, now)
 }
 
-// Used records that a unit is in use on an engine.
-func (f *Fleet) Used(id string, unit serving.Unit, now time.Time) {
+// MarkUsed records that a unit is in use on an engine.
+func (f *Fleet) MarkUsed(id string, unit serving.Unit, now time.Time) {
 	e := f.engines[id]
 	if e == nil || e.Copies[unit.Model] == nil {
 		return
--- a/command/replicas/weightstore.go
+++ b/command/replicas/weightstore.go
@@ -67,8 +67,8 @@
 // for a long generation.
 const maxLocalOrder = 2 * time.Second
 
-// BusyElsewhere records that an engine which must be read again is carrying out an order of a previous holder.
-func (f *Fleet) BusyElsewhere(id string, now time.Time) {
+// BusyWithInheritedOrder records that an engine which must be read again is carrying out an order of a previous holder.
+func (f *Fleet) BusyWithInheritedOrder(id string, now time.Time) {
 	if e := f.engines[id]; e != nil && e.Unsure && e.inheritedBusySince.IsZero() {
 		e.inheritedBusySince = now
 	}
@@ -110,19 +110,19 @@
 	return f.demandOf(m.Name).Weight*remoteHorizon.Seconds() >= f.params.EngineTimeCost*load.Seconds()
 }
 
-// RemoteAtOnce returns the estimated number of concurrent loads from the weight store that run at full speed.
-func (f *Fleet) RemoteAtOnce() float64 { return f.store.fullSpeedLoads }
+// RemoteConcurrency returns the estimated number of concurrent loads from the weight store that run at full speed.
+func (f *Fleet) RemoteConcurrency() float64 { return f.store.fullSpeedLoads }
 
-// LearnRemoteAtOnce sets the estimate that a previous holder has learned. Values below 1 are ignored.
-func (f *Fleet) LearnRemoteAtOnce(fullSpeedLoads float64) {
+// SetRemoteConcurrency sets the estimate that a previous holder has learned. Values below 1 are ignored.
+func (f *Fleet) SetRemoteConcurrency(fullSpeedLoads float64) {
 	if fullSpeedLoads >= 1 {
 		f.store.fullSpeedLoads = fullSpeedLoads
 	}
 }
 
-// Lasts records that an operation's load from the weight store is not done at its expected time, and returns the new
+// StillLoading records that an operation's load from the weight store is not done at its expected time, and returns the new
 // expected time.
-func (f *Fleet) Lasts(op Operation, now time.Time) time.Time {
+func (f *Fleet) StillLoading(op Operation, now time.Time) time.Time {
 	e := f.engines[op.Engine]
 	if e == nil || e.generation != op.generation || e.remoteStarted.IsZero() {
 		return now
--- a/command/replicas/weightstore_test.go
+++ b/command/replicas/weightstore_test.go
@@ -50,7 +50,7 @@
 func TestWeightStoreSpeedIsLearned(t *testing.T) {
 	for _, full := range []int{1, 2, 4, 6, 16} {
 		now := time.Unix(1000, 0)
-		s := simulatedStore{fullSpeed: full, nominal: 6 * time.Second, learned: weightStore{fullSpeedLoads: DefaultParams().RemoteAtOnce}}
+		s := simulatedStore{fullSpeed: full, nominal: 6 * time.Second, learned: weightStore{fullSpeedLoads: DefaultParams().RemoteConcurrency}}
 		wrong, total := 0, 0
 		for range 600 {
 			now = now.Add(100 * time.Millisecond)
--- a/command/replicas/weightstore_worth_test.go
+++ b/command/replicas/weightstore_worth_test.go
@@ -28,7 +28,7 @@
 				e.Tiers["m2"] = serving.TierRemote
 			}
 			f.index = index{}
-			f.Arrived("m2", arrivals(c.arrivals), now)
+			f.RecordArrivals("m2", arrivals(c.arrivals), now)
 			waiting := Waiting{Instance: "instance", OnTime: 1, Left: c.left}
 			found, ok := f.Find("llm", serving.Unit{Model: "m2"}, waiting, now)
 			load := f.Engines()[0].Spec.Models["m2"].RemoteLoad
--- a/entry/calls_test.go
+++ b/entry/calls_test.go
@@ -88,7 +88,7 @@
 		defer watching(t, w)()
 		time.Sleep(time.Second)
 		for range 5 {
-			w.applyHolderUpdate(holder.News{Config: access.Word{Version: 1}, Servers: directory.Delta{Digest: w.dir.Digest()}}, time.Now(), time.Now())
+			w.applyHolderUpdate(holder.Update{Config: access.Word{Version: 1}, Servers: directory.Delta{Digest: w.dir.Digest()}}, time.Now(), time.Now())
 			time.Sleep(time.Second)
 		}
 		if config, servers := s.config.Load(), s.servers.Load(); config != 1 || servers != 0 {
@@ -143,7 +143,7 @@
 	}
 	s := staleStore{Store: inner, old: old}
 	dir := directory.New()
-	h := holder.New(holder.DefaultParams("a", "10.0.0.1:1", 0), s, nil, dir, holder.NewCounts(metrics.NewSet()), discardLog())
+	h := holder.New(holder.DefaultParams("a", "10.0.0.1:1", 0), s, nil, dir, holder.NewMetrics(metrics.NewSet()), discardLog())
 	m := &members{store: s, self: member{Name: "a", Address: "10.0.0.1:1", Domain: "d", Cores: 1}, log: discardLog()}
 	f := newFollower("a", h, dir, nil, m, discardLog())
 	f.findStale(t.Context())
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -111,22 +111,22 @@
 	}
 	holderParams.Fleet.RemoteOverage = max(holderParams.Fleet.RemoteOverage, s.Bounds.CeilingOverage)
 	holderParams.Quota, holderParams.ServerQuota = quotaParams(&s), backpressure.QuotaParams()
-	i.holder = holder.New(holderParams, i.client, i.backends, i.dir, holder.NewCounts(i.set), log)
+	i.holder = holder.New(holderParams, i.client, i.backends, i.dir, holder.NewMetrics(i.set), log)
 	i.members = &members{store: i.client, self: member{Name: s.NodeName, Address: s.PeerAddress(), Domain: s.Zone, Cores: s.Cores()}, log: log, eraChanged: make(chan struct{}, 1)}
 	i.limiter = newServerLimiter(s.NodeName, i.dir, i.members, i.set, log)
 	i.backends.Listen(i.limiter.observe)
-	i.holder.LimitServers(lendableLimits{i.limiter.ledger})
+	i.holder.SetServerLimits(lendableLimits{i.limiter.ledger})
 	i.follower = newFollower(s.NodeName, i.holder, i.dir, rpcpool.New(n.peers), i.members, log)
 	maxUpdateAge := func() time.Duration { return updateLifetime(i.settings.Load()) }
 	i.watcher = newWatcher(i.client, i.dir, i.backends, i.balancer, i.holder.Holds, maxUpdateAge, log)
-	i.watcher.onNewEra, i.watcher.onRestored = i.holder.EraBegan, i.handleStoreRestored
+	i.watcher.onNewEra, i.watcher.onRestored = i.holder.ObserveEra, i.handleStoreRestored
 	i.follower.watcher, i.follower.shares = i.watcher, quota.NewShares(holderParams.Quota.Lifetime)
 	i.follower.limiter = i.limiter
 	i.limiter.askTurn, i.limiter.requestReport, i.limiter.instances = i.follower.requestTurn, i.follower.reportNow, i.follower.knownInstances
-	i.holder.WatchStore(i.watcher.outageSince)
+	i.holder.SetOutageSource(i.watcher.outageSince)
 	i.declaration = &declarationState{config: &table.Config{}, log: log}
 	if o.OperatorsPort > 0 {
-		i.holder.Limit(i.declaration)
+		i.holder.SetReplicaLimits(i.declaration)
 		i.watcher.declaration = i.declaration
 	}
 	i.quarantine = newQuarantineManager(i.client, i.members, i.follower, i.holder.Holds, i.set, log)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -83,7 +83,7 @@
 // nothing.
 func (r *running) kill() {
 	r.follower.stopTakeovers()
-	r.Instance.holder.Deposed(math.MaxInt64)
+	r.Instance.holder.ObserveFence(math.MaxInt64)
 	r.stop()
 }
 
--- a/entry/era_test.go
+++ b/entry/era_test.go
@@ -66,7 +66,7 @@
 			if next := s.holder().Instance.holder.Fence(); next <= token {
 				t.Errorf("token %d after %d", next, token)
 			}
-			if from := s.holder().Instance.holder; from.Settled(time.Now()) {
+			if from := s.holder().Instance.holder; from.PriorOperationsEnded(time.Now()) {
 				t.Error("the next holder orders at once, though the one before may not know yet")
 			}
 		})
@@ -91,8 +91,8 @@
 					s.add(i)
 				}
 				s.await("all rely on a holder", 30*time.Second, s.settled)
-				if next := s.holder().Instance.holder; next.Fence() <= token || next.Settled(time.Now()) {
-					t.Errorf("token %d after %d, settled at once: %t", next.Fence(), token, next.Settled(time.Now()))
+				if next := s.holder().Instance.holder; next.Fence() <= token || next.PriorOperationsEnded(time.Now()) {
+					t.Errorf("token %d after %d, settled at once: %t", next.Fence(), token, next.PriorOperationsEnded(time.Now()))
 				}
 				if last := s.lastToKnow("p1", s.drain, nil); last > s.site.drain {
 					t.Errorf("a leaving server is known after %s", last)
--- a/entry/follower.go
+++ b/entry/follower.go
@@ -259,8 +259,8 @@
 	f.limiter.mergeLimits(reply.ServerLimits, record.Holder)
 	f.limiter.mergeLeaving(reply.Leaving, record.Holder)
 	f.applyLimits(&reply, sent, clock.Exact())
-	f.holder.HeardRemoteAtOnce(reply.News.RemoteAtOnce)
-	f.holder.Heard(reply.News.Lease)
+	f.holder.SetRemoteConcurrency(reply.News.RemoteAtOnce)
+	f.holder.ObserveRemote(reply.News.Lease)
 	return true
 }
 
--- a/entry/follower_test.go
+++ b/entry/follower_test.go
@@ -20,7 +20,7 @@
 	f.budget = forward.NewBudget(forward.BudgetParams{})
 	f.watcher = newTestWatcher(nil, f.dir, discardLog())
 	answered := func(digest uint64) {
-		f.applyUpdate(lease.Record{Holder: "h"}, &ExchangeReply{Held: true, News: holder.News{Fence: 1, Servers: directory.Delta{Digest: digest}}}, time.Now(), time.Now())
+		f.applyUpdate(lease.Record{Holder: "h"}, &ExchangeReply{Held: true, News: holder.Update{Fence: 1, Servers: directory.Delta{Digest: digest}}}, time.Now(), time.Now())
 	}
 	asksForAll := func() bool {
 		_, args := f.buildReport()
--- a/entry/leaving_late_test.go
+++ b/entry/leaving_late_test.go
@@ -134,7 +134,7 @@
 		w.applyServer(serving.Server{ID: id, Service: "plain", Revision: 1})
 	}
 	w.recordCall(platform.PrefixServers, failed, false, store.ErrUnavailable)
-	w.applyHolderUpdate(holder.News{Servers: directory.Delta{Revision: 1, Digest: w.dir.Digest()}}, failed.Add(time.Millisecond), now)
+	w.applyHolderUpdate(holder.Update{Servers: directory.Delta{Revision: 1, Digest: w.dir.Digest()}}, failed.Add(time.Millisecond), now)
 	w.recordCall(platform.PrefixServers, now, false, nil)
 	w.applyServers(store.Snapshot{Revision: 2, Objects: []store.Object{{Key: platform.PrefixServers + "p1", Version: 2, Deleted: true}}}, false)
 	if _, known := w.dir.Server("p1"); known {
--- a/entry/leaving_log_test.go
+++ b/entry/leaving_log_test.go
@@ -23,7 +23,7 @@
 	now := time.Now()
 	leaving := directory.Delta{Servers: []serving.Server{{ID: "e1", Service: "llm", Revision: 7, Draining: true}}, Revision: 7}
 	for range 2 {
-		w.applyHolderUpdate(holder.News{Servers: leaving}, now.Add(-800*time.Millisecond), now)
+		w.applyHolderUpdate(holder.Update{Servers: leaving}, now.Add(-800*time.Millisecond), now)
 	}
 	if n := strings.Count(logs.String(), "server leaving"); n != 1 {
 		t.Errorf("%d lines, want 1: %s", n, &logs)
@@ -39,8 +39,8 @@
 func TestServersAgeIsTheStores(t *testing.T) {
 	w := newTestWatcher(nil, directory.New(), discardLog())
 	now := time.Now()
-	w.applyHolderUpdate(holder.News{}, now.Add(-700*time.Millisecond), now)
-	w.applyHolderUpdate(holder.News{}, now.Add(-900*time.Millisecond), now)
+	w.applyHolderUpdate(holder.Update{}, now.Add(-700*time.Millisecond), now)
+	w.applyHolderUpdate(holder.Update{}, now.Add(-900*time.Millisecond), now)
 	if age := w.prefixAge(platform.PrefixServers, now); age != 700*time.Millisecond {
 		t.Errorf("%s old, want the age of the newest word", age)
 	}
--- a/entry/peers_test.go
+++ b/entry/peers_test.go
@@ -47,7 +47,7 @@
 	f.budget = forward.NewBudget(forward.BudgetParams{})
 	f.watcher = newTestWatcher(nil, f.dir, discardLog())
 	for _, n := range []int{6, 0, 4} {
-		f.applyUpdate(lease.Record{Holder: "h"}, &ExchangeReply{Held: true, News: holder.News{Peers: n}}, time.Now(), time.Now())
+		f.applyUpdate(lease.Record{Holder: "h"}, &ExchangeReply{Held: true, News: holder.Update{Peers: n}}, time.Now(), time.Now())
 		if got := f.budget.Spending("s", time.Now()).Instances; got != 6 {
 			t.Errorf("the budget is shared by %d after the holder told %d, want 6", got, n)
 		}
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -147,7 +147,7 @@
 	if record.Released {
 		return takeoverSpread / 2
 	}
-	return max(suspectAfter+takeoverSpread/2, f.holder.SuccessionTime()) - min(unanswered, suspectAfter+takeoverSpread/2)
+	return max(suspectAfter+takeoverSpread/2, f.holder.TakeOverDelay()) - min(unanswered, suspectAfter+takeoverSpread/2)
 }
 
 // queryPlace asks the holder where a unit is or will be loaded.
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -74,7 +74,7 @@
 	// more loads. It is the zero Record if there is none.
 	GaveUp lease.Record
 	// News has no views: they are sent in Views.
-	News  holder.News
+	News  holder.Update
 	Views []WireView
 	// StoreAgeMS is the maximum age of the holder's copy of the store, in milliseconds.
 	StoreAgeMS int64
@@ -143,7 +143,7 @@
 	// one.
 	GaveUp lease.Record
 	// Lease is what the instance knows of the holder's last renewal.
-	Lease lease.Standing
+	Lease lease.RenewalAge
 }
 
 // AnnounceArgs announces a new holder with the record that it has written.
@@ -215,7 +215,7 @@
 	reply.Crashes = s.quarantine.answerMessage(args.Crashes, now)
 	update, err := s.holder.Exchange(args.Report, now)
 	if errors.Is(err, holder.ErrNotHolder) {
-		reply.GaveUp = s.holder.GaveUp()
+		reply.GaveUp = s.holder.SurrenderedRecord()
 		return nil
 	}
 	for _, v := range update.Views {
@@ -259,7 +259,7 @@
 		return nil
 	}
 	reply.Held, reply.Found, reply.Engine = true, ok, found.Engine
-	reply.InMS, reply.For = millisUntil(found.Ready, now), found.For
+	reply.InMS, reply.For = millisUntil(found.Ready, now), found.WaitReason
 	return nil
 }
 
@@ -277,7 +277,7 @@
 		s.trials.End(args.Trial, args.Doubtful, now)
 		return nil
 	}
-	reply.Held = s.holder.Settled(now)
+	reply.Held = s.holder.PriorOperationsEnded(now)
 	reply.Known = s.quarantine.ledger.RecordsOf(args.Fingerprint, now)
 	mayRun := s.quarantine.ledger.StateOnVersion(args.Fingerprint, args.Version) == quarantine.Suspect && !s.quarantine.ledger.HasPending(args.Fingerprint)
 	if reply.Held && mayRun {
@@ -297,7 +297,7 @@
 // Reaches answers whether the holder answers this instance.
 func (s *service) Reaches(args *ReachesArgs, reply *ReachesReply) error {
 	reply.Reaches, reply.GaveUp = s.follower.reachesHolder(args.Holder, clock.Now())
-	reply.Lease = s.holder.Standing()
+	reply.Lease = s.holder.RenewalAge()
 	return nil
 }
 
@@ -309,7 +309,7 @@
 
 // Use records that a request begins.
 func (s *service) Use(args *UseArgs, _ *UseReply) error {
-	s.holder.Used(args.Use, clock.Now())
+	s.holder.RequestStarted(args.Use, clock.Now())
 	return nil
 }
 
--- a/entry/serverlimiter.go
+++ b/entry/serverlimiter.go
@@ -262,8 +262,8 @@
 // lendableLimits gives the holder the limits that it lends. It implements holder.ServerLimits.
 type lendableLimits struct{ ledger *backpressure.Ledger }
 
-// Lent implements holder.ServerLimits.
-func (l lendableLimits) Lent(server string) (serving.Limit, bool) {
+// LendableLimit implements holder.ServerLimits.
+func (l lendableLimits) LendableLimit(server string) (serving.Limit, bool) {
 	rate, ok := l.ledger.AccountingRate(server, clock.Now())
 	return backpressure.LentLimit(rate), ok
 }
--- a/entry/staleness.go
+++ b/entry/staleness.go
@@ -80,7 +80,7 @@
 }
 
 // applyHolderUpdate applies the holder's update, which was current at the given time.
-func (w *watcher) applyHolderUpdate(update holder.News, at, now time.Time) {
+func (w *watcher) applyHolderUpdate(update holder.Update, at, now time.Time) {
 	if update.Servers.Revision > 0 {
 		w.recordEra(update.Servers.Revision.Era(), false)
 	}
--- a/entry/takeover.go
+++ b/entry/takeover.go
@@ -108,7 +108,7 @@
 	if changed {
 		f.log.WithFields(logrus.Fields{"holder": record.Holder, "fence": record.Fence, "released": record.Released, "source": source}).Info("holder found")
 	}
-	f.holder.Deposed(record.Fence)
+	f.holder.ObserveFence(record.Fence)
 }
 
 // takeVacant takes over a vacant lease, whose record was read in an era of the store, unless an
@@ -117,7 +117,7 @@
 	if vacant.Fence == 0 && !pause.For(ctx, registrationWait) {
 		return
 	}
-	if !f.yieldToStronger(ctx) || f.knownFence() > max(vacant.Fence, lease.FirstFence(era)) {
+	if !f.yieldToStronger(ctx) || f.knownFence() > max(vacant.Fence, lease.FenceBase(era)) {
 		return // ctx has ended, or another holder has announced itself
 	}
 	record, revision, err := f.holder.Current(ctx)
@@ -125,7 +125,7 @@
 		return // the store is unavailable, or another instance has taken the lease
 	}
 	cause := "free"
-	if record.CameBack(revision.Era()) {
+	if record.RestoredFromBackup(revision.Era()) {
 		cause = "came back from a copy"
 	}
 	f.takeOver(ctx, record, revision, cause)
@@ -187,7 +187,7 @@
 		return
 	}
 	record, revision, err := f.holder.Current(ctx)
-	if err != nil || record.Holder != suspect && !record.CameBack(revision.Era()) {
+	if err != nil || record.Holder != suspect && !record.RestoredFromBackup(revision.Era()) {
 		return // the store is unavailable, or another instance has taken the lease
 	}
 	f.takeOver(ctx, record, revision, "silent")
@@ -217,7 +217,7 @@
 				return
 			}
 			f.recordReleased(reply.GaveUp)
-			f.holder.Heard(reply.Lease)
+			f.holder.ObserveRemote(reply.Lease)
 			votes <- vote{answered: true, reaches: reply.Reaches}
 		}()
 	}
