--- a/command/access/access.go
+++ b/command/access/access.go
@@ -24,9 +24,9 @@
 	FailClosed bool
 	// Bound is the longest time for which a key may work after its removal.
 	Bound time.Duration
-	// InForce is the longest time for which an accepted configuration may be unknown to an
+	// PropagationBound is the longest time for which an accepted configuration may be unknown to an
 	// instance, 0 if the deployment does not specify it.
-	InForce time.Duration
+	PropagationBound time.Duration
 }
 
 // safetyMargin is the fraction of the bound that is left unused: the store may report a change some
@@ -34,22 +34,22 @@
 // for a part of its one-second interval.
 const safetyMargin = 0.14
 
-// Trusted returns the age up to which keys are relied on; 0 means that there is no limit.
-func (p Policy) Trusted() time.Duration {
+// MaxAge returns the age up to which keys are relied on; 0 means that there is no limit.
+func (p Policy) MaxAge() time.Duration {
 	if !p.FailClosed {
 		return 0
 	}
 	return time.Duration((1 - safetyMargin) * float64(p.Bound))
 }
 
-// Trusts reports whether keys are relied on if the last confirmation of the configuration has the
+// KeysTrusted reports whether keys are relied on if the last confirmation of the configuration has the
 // given age.
-func (p Policy) Trusts(age time.Duration) bool {
-	return !p.FailClosed || age <= p.Trusted()
+func (p Policy) KeysTrusted(age time.Duration) bool {
+	return !p.FailClosed || age <= p.MaxAge()
 }
 
-// Word is a message from one instance to another that states how current its configuration is.
-type Word struct {
+// ConfigStatus is a message from one instance to another that states how current its configuration is.
+type ConfigStatus struct {
 	// Version is that of the configuration in force there, 0 if there is none.
 	Version int64
 	// Age is how long before the creation of the message it was last certain that there was no newer
@@ -57,20 +57,20 @@
 	Age time.Duration
 }
 
-// AsOf returns the time at which it was last certain that there was no newer configuration, by the
+// ConfirmedAt returns the time at which it was last certain that there was no newer configuration, by the
 // clock of the receiver. sentAt is when the receiver sent the request that was answered with the
 // message; since the message was created later, the result is a safe lower bound.
-func (w Word) AsOf(sentAt time.Time) time.Time { return sentAt.Add(-w.Age) }
+func (w ConfigStatus) ConfirmedAt(sentAt time.Time) time.Time { return sentAt.Add(-w.Age) }
 
-// Knowledge states how current the configuration is known to be when a request is judged.
-type Knowledge struct {
+// Freshness states how current the configuration is known to be when a request is judged.
+type Freshness struct {
 	// Age is the time since it was last certain that there was no newer configuration.
 	Age time.Duration
-	// Newer is set if a newer configuration is known to exist but has not been received yet.
-	Newer bool
-	// Reached is set if another instance that relays updates from the store can be reached, so that
+	// NewerExists is set if a newer configuration is known to exist but has not been received yet.
+	NewerExists bool
+	// HolderReachable is set if another instance that relays updates from the store can be reached, so that
 	// this instance is not isolated on its own.
-	Reached bool
+	HolderReachable bool
 }
 
 // Retry-After times.
@@ -93,16 +93,16 @@
 // AbsenceIsCertain reports whether a route or a key that is not in the configuration certainly does
 // not exist. If it may exist, the request must not be refused permanently, since its client would
 // not retry.
-func (p Policy) AbsenceIsCertain(k Knowledge) bool {
+func (p Policy) AbsenceIsCertain(k Freshness) bool {
 	maxAge := maxAbsenceAge
-	if p.InForce > 0 {
-		maxAge = min(maxAge, time.Duration((1-safetyMargin)*float64(p.InForce)))
+	if p.PropagationBound > 0 {
+		maxAge = min(maxAge, time.Duration((1-safetyMargin)*float64(p.PropagationBound)))
 	}
-	return !k.Newer && k.Age <= maxAge
+	return !k.NewerExists && k.Age <= maxAge
 }
 
 // NoRoute returns the refusal of a request for which the configuration has no route.
-func NoRoute(c *serving.Config, r *serving.Request, k Knowledge, p Policy) *verdict.Failure {
+func NoRoute(c *serving.Config, r *serving.Request, k Freshness, p Policy) *verdict.Failure {
 	if !p.AbsenceIsCertain(k) {
 		return verdict.Refuse(verdict.ReasonPlatform, "no route of configuration %d for %s%s, and that may be out of date: the last word is %s old",
 			c.Version, r.Host, r.Path(), k.Age.Round(time.Millisecond)).After(outdatedRetryAfter)
@@ -112,11 +112,11 @@
 
 // Authorize returns the workspace of a request for a route, nil if the request needs no key, or the
 // reason why it may not run.
-func Authorize(c *serving.Config, route *serving.Route, credential serving.Credential, k Knowledge, p Policy) (*serving.Workspace, *verdict.Failure) {
+func Authorize(c *serving.Config, route *serving.Route, credential serving.Credential, k Freshness, p Policy) (*serving.Workspace, *verdict.Failure) {
 	if !c.Guarded() || route.Public {
 		return nil, nil
 	}
-	if !p.Trusts(k.Age) {
+	if !p.KeysTrusted(k.Age) {
 		return nil, verdict.Refuse(verdict.ReasonPlatform, "it is not known whether keys were taken away, the last word is %s old", k.Age.Round(time.Millisecond)).After(k.retryAfter())
 	}
 	workspace, detail := findWorkspace(c, credential)
@@ -145,8 +145,8 @@
 }
 
 // retryAfter returns the Retry-After of a request refused because the knowledge is too old.
-func (k Knowledge) retryAfter() time.Duration {
-	if k.Reached {
+func (k Freshness) retryAfter() time.Duration {
+	if k.HolderReachable {
 		return outageRetryAfter
 	}
 	return isolatedRetryAfter
--- a/command/access/access_test.go
+++ b/command/access/access_test.go
@@ -23,23 +23,23 @@
 	for name, c := range map[string]struct {
 		credential serving.Credential
 		public     bool
-		knowledge  Knowledge
+		knowledge  Freshness
 		policy     Policy
 		want       string
 	}{
-		"known key":                          {key("k"), false, Knowledge{}, failClosed, allowed},
-		"known key, old word":                {key("k"), false, Knowledge{Age: 4 * time.Second}, failClosed, allowed},
-		"known key, too old a word":          {key("k"), false, Knowledge{Age: 4500 * time.Millisecond}, failClosed, refused},
-		"known key, nothing ever heard":      {key("k"), false, Knowledge{Age: 1 << 62}, failClosed, refused},
-		"known key, cut off, fails open":     {key("k"), false, Knowledge{Age: time.Hour}, Policy{}, allowed},
-		"unknown key":                        {key("x"), false, Knowledge{Age: 2 * time.Second}, failClosed, string(verdict.ReasonUnauthorized)},
-		"unknown key, old word":              {key("x"), false, Knowledge{Age: 3 * time.Second}, failClosed, refused},
-		"unknown key, cut off, fails open":   {key("x"), false, Knowledge{Age: time.Hour}, Policy{}, refused},
-		"unknown key, newer word on its way": {key("x"), false, Knowledge{Newer: true}, failClosed, refused},
-		"empty digest is no key":             {key(""), false, Knowledge{}, failClosed, string(verdict.ReasonUnauthorized)},
-		"no key":                             {serving.Credential{}, false, Knowledge{}, failClosed, string(verdict.ReasonUnauthorized)},
-		"two keys":                           {serving.Credential{Form: serving.KeyRepeated}, false, Knowledge{}, failClosed, string(verdict.ReasonUnauthorized)},
-		"public":                             {serving.Credential{}, true, Knowledge{Age: time.Hour}, failClosed, allowed},
+		"known key":                          {key("k"), false, Freshness{}, failClosed, allowed},
+		"known key, old word":                {key("k"), false, Freshness{Age: 4 * time.Second}, failClosed, allowed},
+		"known key, too old a word":          {key("k"), false, Freshness{Age: 4500 * time.Millisecond}, failClosed, refused},
+		"known key, nothing ever heard":      {key("k"), false, Freshness{Age: 1 << 62}, failClosed, refused},
+		"known key, cut off, fails open":     {key("k"), false, Freshness{Age: time.Hour}, Policy{}, allowed},
+		"unknown key":                        {key("x"), false, Freshness{Age: 2 * time.Second}, failClosed, string(verdict.ReasonUnauthorized)},
+		"unknown key, old word":              {key("x"), false, Freshness{Age: 3 * time.Second}, failClosed, refused},
+		"unknown key, cut off, fails open":   {key("x"), false, Freshness{Age: time.Hour}, Policy{}, refused},
+		"unknown key, newer word on its way": {key("x"), false, Freshness{NewerExists: true}, failClosed, refused},
+		"empty digest is no key":             {key(""), false, Freshness{}, failClosed, string(verdict.ReasonUnauthorized)},
+		"no key":                             {serving.Credential{}, false, Freshness{}, failClosed, string(verdict.ReasonUnauthorized)},
+		"two keys":                           {serving.Credential{Form: serving.KeyRepeated}, false, Freshness{}, failClosed, string(verdict.ReasonUnauthorized)},
+		"public":                             {serving.Credential{}, true, Freshness{Age: time.Hour}, failClosed, allowed},
 	} {
 		workspace, failure := Authorize(config, &serving.Route{Public: c.public}, c.credential, c.knowledge, c.policy)
 		got := ""
@@ -69,10 +69,10 @@
 		}
 	}
 	policy := Policy{FailClosed: true, Bound: time.Second}
-	if _, failure := Authorize(open, &serving.Route{}, serving.Credential{}, Knowledge{Age: time.Hour}, policy); failure != nil {
+	if _, failure := Authorize(open, &serving.Route{}, serving.Credential{}, Freshness{Age: time.Hour}, policy); failure != nil {
 		t.Errorf("no workspaces: %v", failure)
 	}
-	if _, failure := Authorize(closed, &serving.Route{}, serving.Credential{}, Knowledge{}, policy); failure == nil {
+	if _, failure := Authorize(closed, &serving.Route{}, serving.Credential{}, Freshness{}, policy); failure == nil {
 		t.Error("empty list of workspaces: a request without a key is admitted")
 	}
 }
--- a/command/access/search_test.go
+++ b/command/access/search_test.go
@@ -29,7 +29,7 @@
 type call struct {
 	sentAt time.Time
 	// answer is nil until the call has been executed.
-	answer *access.Word
+	answer *access.ConfigStatus
 }
 
 // state is the state of the whole simulation, made of values that are copied.
@@ -90,13 +90,13 @@
 	}},
 	{"the holder asks the store", func(s *state, _ map[int64]*serving.Config) bool { return s.send(0) }},
 	{"the store answers", func(s *state, _ map[int64]*serving.Config) bool {
-		return s.execute(0, access.Word{Version: s.accepted})
+		return s.execute(0, access.ConfigStatus{Version: s.accepted})
 	}},
 	{"the holder hears the store", func(s *state, configs map[int64]*serving.Config) bool { return s.receive(0, configs) }},
 	{"the instance asks the holder", func(s *state, _ map[int64]*serving.Config) bool { return s.send(1) }},
 	{"the holder answers", func(s *state, configs map[int64]*serving.Config) bool {
 		config, confirmedAt := s.directoryOf(0, configs).Current()
-		return s.execute(1, access.Word{Version: config.Version, Age: s.now.Sub(confirmedAt)})
+		return s.execute(1, access.ConfigStatus{Version: config.Version, Age: s.now.Sub(confirmedAt)})
 	}},
 	{"the instance hears the holder", func(s *state, configs map[int64]*serving.Config) bool { return s.receive(1, configs) }},
 	{"a question is given up", func(s *state, _ map[int64]*serving.Config) bool {
@@ -123,7 +123,7 @@
 }
 
 // execute executes the call of a node, with the given result.
-func (s *state) execute(node int, w access.Word) bool {
+func (s *state) execute(node int, w access.ConfigStatus) bool {
 	if s.calls[node] == nil || s.calls[node].answer != nil {
 		return false
 	}
@@ -143,7 +143,7 @@
 		s.version[0] = max(s.version[0], c.answer.Version)
 	}
 	d := s.directoryOf(node, configs)
-	d.Confirm(c.answer.Version, c.answer.AsOf(c.sentAt))
+	d.Confirm(c.answer.Version, c.answer.ConfirmedAt(c.sentAt))
 	_, s.confirmedAt[node] = d.Current()
 	return true
 }
@@ -153,7 +153,7 @@
 	for node, name := range []string{"holder", "instance"} {
 		config, confirmedAt := s.directoryOf(node, configs).Current()
 		key := serving.Credential{Form: serving.KeyGiven, Digest: serving.DigestKey("k")}
-		_, failure := access.Authorize(config, &serving.Route{}, key, access.Knowledge{Age: s.now.Sub(confirmedAt)}, searchPolicy)
+		_, failure := access.Authorize(config, &serving.Route{}, key, access.Freshness{Age: s.now.Sub(confirmedAt)}, searchPolicy)
 		if over := s.now.Sub(s.revoked); failure == nil && s.accepted == 2 && over > searchPolicy.Bound {
 			return fmt.Errorf("the %s accepts the key %s after its removal", name, over)
 		}
@@ -183,7 +183,7 @@
 		if err := s.check(configs); err != nil {
 			t.Fatalf("%v: %v", path, err)
 		}
-		if s.accepted == 2 && s.now.Sub(s.confirmedAt[1]) <= searchPolicy.Trusted() {
+		if s.accepted == 2 && s.now.Sub(s.confirmedAt[1]) <= searchPolicy.MaxAge() {
 			relying++
 		}
 		if len(path) == searchDepth {
--- a/command/forward/access.go
+++ b/command/forward/access.go
@@ -14,7 +14,7 @@
 type Access interface {
 	// Current returns the configuration in force, nil before there is one, and how current it is
 	// known to be.
-	Current() (*serving.Config, access.Knowledge)
+	Current() (*serving.Config, access.Freshness)
 	// Policy returns for how long knowledge about keys is relied on.
 	Policy() access.Policy
 	// Draw deducts the cost of a request from the limit of its workspace. refund must be called if
@@ -27,7 +27,7 @@
 type admission struct {
 	config *serving.Config
 	// freshness is how current config is known to be.
-	freshness access.Knowledge
+	freshness access.Freshness
 	// route carries the priority of the workspace, if the workspace has one.
 	route *serving.Route
 	// workspace is nil if the request needs no key or its key is unknown.
--- a/command/forward/access_test.go
+++ b/command/forward/access_test.go
@@ -16,14 +16,14 @@
 // fakeAccess uses the configuration of the directory, and admits requests up to a limit.
 type fakeAccess struct {
 	dir    *directory.Directory
-	known  access.Knowledge
+	known  access.Freshness
 	policy access.Policy
 	// remaining is what the workspace may still spend, drawn the sum of what was drawn, and
 	// returned the sum of what was refunded.
 	remaining, drawn, returned float64
 }
 
-func (f *fakeAccess) Current() (*serving.Config, access.Knowledge) { return f.dir.Config(), f.known }
+func (f *fakeAccess) Current() (*serving.Config, access.Freshness) { return f.dir.Config(), f.known }
 func (f *fakeAccess) Policy() access.Policy                        { return f.policy }
 func (f *fakeAccess) Draw(_ context.Context, w *serving.Workspace, cost float64) (func(), *verdict.Failure) {
 	if f.remaining < cost {
--- a/command/forward/budget.go
+++ b/command/forward/budget.go
@@ -125,8 +125,8 @@
 	return true
 }
 
-// Spending is the state of a bucket that a decision of Take was based on, for the log.
-type Spending struct {
+// BudgetState is the state of a bucket that a decision of Take was based on, for the log.
+type BudgetState struct {
 	// Level is the number of repeated sends that may still be made.
 	Level float64
 	// Requests is the number of requests remembered, and Repeats the number of repeated sends in
@@ -139,12 +139,12 @@
 	Age time.Duration
 }
 
-// Spending returns the present state of the bucket of a service.
-func (b *Budget) Spending(service string, now time.Time) Spending {
+// State returns the present state of the bucket of a service.
+func (b *Budget) State(service string, now time.Time) BudgetState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	bkt := b.bucket(service, now)
-	return Spending{Level: bkt.level, Requests: len(bkt.requests), Repeats: len(bkt.repeats), Instances: b.instances, Age: now.Sub(b.created)}
+	return BudgetState{Level: bkt.level, Requests: len(bkt.requests), Repeats: len(bkt.repeats), Instances: b.instances, Age: now.Sub(b.created)}
 }
 
 // bucket returns the bucket of a service, refilled up to now. b.mu must be held.
--- a/command/forward/budget_edge_test.go
+++ b/command/forward/budget_edge_test.go
@@ -111,9 +111,9 @@
 	b := NewBudget(BudgetParams{Extra: 52, Window: 10 * time.Second})
 	b.SetInstances(1, now)
 	now = now.Add(time.Minute)
-	before := b.Spending("s", now).Level
+	before := b.State("s", now).Level
 	b.RecordRequest("s", now.Add(-time.Second))
-	if after := b.Spending("s", now).Level; after != before {
+	if after := b.State("s", now).Level; after != before {
 		t.Errorf("level is %.1f, was %.1f", after, before)
 	}
 }
--- a/command/forward/budget_test.go
+++ b/command/forward/budget_test.go
@@ -302,7 +302,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, reply{status: 200})
 		r := &transaction{f: f.forwarder, service: serving.Service{Name: "plain"}, request: &serving.Request{ID: "r"}, sends: 1}
-		draws := func() int { return f.forwarder.budget.Spending("plain", time.Now()).Repeats }
+		draws := func() int { return f.forwarder.budget.State("plain", time.Now()).Repeats }
 		r.drawnAt = time.Now()
 		if !r.withinBudget() || draws() != 0 {
 			t.Errorf("%d draws for a send that has just been drawn", draws())
--- a/command/forward/choose.go
+++ b/command/forward/choose.go
@@ -30,7 +30,7 @@
 	for {
 		servers := t.f.dir.Servers(t.service.Name)
 		known := len(servers)
-		usable := slices.DeleteFunc(servers, func(s serving.Server) bool { return t.excluded[s.ID] || t.f.guard.Ended(s) })
+		usable := slices.DeleteFunc(servers, func(s serving.Server) bool { return t.excluded[s.ID] || t.f.guard.Crashed(s) })
 		open := t.availableServers(usable)
 		candidates := make([]balance.Candidate, 0, len(open))
 		for _, i := range open {
@@ -78,7 +78,7 @@
 		}
 		wait := clock.Until(ready)
 		if stop == nil {
-			stop = t.f.placer.Waits(t.request.Unit, t.route.Priority, t.latestOnTimeLoad(), t.nextOutputDeadline())
+			stop = t.f.placer.RegisterWait(t.request.Unit, t.route.Priority, t.latestOnTimeLoad(), t.nextOutputDeadline())
 		}
 		t.waits.setCause(serving.WaitLoad)
 		if !found || wait <= 0 { // the holder has to confirm a load that should be complete by now, see Place
@@ -186,7 +186,7 @@
 // state of the directory and the server limits.
 func (t *transaction) availableReplicas(now time.Time) []directory.Replica {
 	replicas := slices.DeleteFunc(t.f.dir.Replicas(t.service.Name, t.request.Unit, now), func(r directory.Replica) bool {
-		return t.excluded[r.Server.ID] || t.f.guard.Ended(r.Server)
+		return t.excluded[r.Server.ID] || t.f.guard.Crashed(r.Server)
 	})
 	servers := make([]serving.Server, 0, len(replicas))
 	for _, r := range replicas {
--- a/command/forward/draw_test.go
+++ b/command/forward/draw_test.go
@@ -31,7 +31,7 @@
 			if failure != nil || w.Code != ok.status {
 				t.Errorf("status %d, %v", w.Code, failure)
 			}
-			if n := f.forwarder.budget.Spending("plain", time.Now()).Repeats; n != test.sends-1 {
+			if n := f.forwarder.budget.State("plain", time.Now()).Repeats; n != test.sends-1 {
 				t.Errorf("%d draws for %d sends", n, test.sends)
 			}
 
--- a/command/forward/forward.go
+++ b/command/forward/forward.go
@@ -33,8 +33,8 @@
 	ErrNoRoom = errors.New("forward: no engine can take the model now")
 )
 
-// Wanted is a request for a unit to be loaded.
-type Wanted struct {
+// PlaceRequest is a request for a unit to be loaded.
+type PlaceRequest struct {
 	Service string
 	Unit    serving.Unit
 	// Missing is an engine that reported that it does not have the unit although it should; empty
@@ -44,14 +44,14 @@
 	Unreachable string
 }
 
-// Urgency describes what it costs a request if its unit has to be loaded first.
-type Urgency struct {
+// Demand describes what it costs a request if its unit has to be loaded first.
+type Demand struct {
 	// Priority is that of the route; 0 is the highest.
 	Priority int
 	// Deferrable is set if the request may be refused under overload.
 	Deferrable bool
-	// Late is the probability that the request then misses its objective.
-	Late float64
+	// LateProbability is the probability that the request then misses its objective.
+	LateProbability float64
 }
 
 // Run is a request that is running on an engine.
@@ -60,8 +60,8 @@
 	Unit   serving.Unit
 	// Deferrable is set if the request may be refused under overload.
 	Deferrable bool
-	// Only is set if no other engine is known to have the unit.
-	Only bool
+	// SoleReplica is set if no other engine is known to have the unit.
+	SoleReplica bool
 }
 
 // Place states where a unit is or will be loaded. The holder follows the load and reports the unit
@@ -72,24 +72,24 @@
 	// Engine is empty while no engine has been chosen; ask again at Ready.
 	Engine string
 	Ready  time.Time
-	// For is the cause of the wait until Ready.
-	For serving.Wait
+	// Cause is the cause of the wait until Ready.
+	Cause serving.Wait
 }
 
 // Placer requests the loading of units.
 type Placer interface {
-	// Want returns where the unit will be, without waiting for the load. Its errors are ErrNoHolder
+	// RequestPlace returns where the unit will be, without waiting for the load. Its errors are ErrNoHolder
 	// and ErrNoRoom; Place.Ready is then the time to ask again.
-	Want(ctx context.Context, w Wanted) (Place, error)
-	// Arrived records a request for a unit, for demand forecasts.
-	Arrived(unit serving.Unit, urgency Urgency)
-	// Waits records that a request waits for a unit to be loaded, until the returned function is
+	RequestPlace(ctx context.Context, w PlaceRequest) (Place, error)
+	// RecordArrival records a request for a unit, for demand forecasts.
+	RecordArrival(unit serving.Unit, urgency Demand)
+	// RegisterWait records that a request waits for a unit to be loaded, until the returned function is
 	// called. onTime is the latest time at which a load can begin and still lead to an answer
 	// within the request's objective, and leaves is when its client gives up.
-	Waits(unit serving.Unit, priority int, onTime, leaves time.Time) func()
-	// Started records that a request is running on an engine, until the returned function is
+	RegisterWait(unit serving.Unit, priority int, onTime, leaves time.Time) func()
+	// RegisterRun records that a request is running on an engine, until the returned function is
 	// called. answered states whether the engine has answered.
-	Started(r Run) func(answered bool)
+	RegisterRun(r Run) func(answered bool)
 }
 
 // Params are the settings of the forwarder that do not depend on the route.
@@ -119,7 +119,7 @@
 	budget   *Budget
 	guard    Guard
 	access   Access
-	intake   Intake
+	intake   ServerLimiter
 	log      logrus.FieldLogger
 	counts   *Counts
 	// leaving is closed when the instance begins to shut down.
@@ -127,16 +127,16 @@
 }
 
 // New returns a Forwarder.
-func New(p Params, dir *directory.Directory, s serving.Sender, placer Placer, b *balance.Balancer, budget *Budget, guard Guard, a Access, intake Intake, counts *Counts, log logrus.FieldLogger) *Forwarder {
+func New(p Params, dir *directory.Directory, s serving.Sender, placer Placer, b *balance.Balancer, budget *Budget, guard Guard, a Access, intake ServerLimiter, counts *Counts, log logrus.FieldLogger) *Forwarder {
 	return &Forwarder{
 		params: p, dir: dir, sender: s, placer: placer, balancer: b, budget: budget, guard: guard, access: a, intake: intake, counts: counts, log: log,
 		leaving: make(chan struct{}),
 	}
 }
 
-// Leave refuses all requests that have not been sent to a server yet, because the instance is
+// Drain refuses all requests that have not been sent to a server yet, because the instance is
 // shutting down. It must be called only once.
-func (f *Forwarder) Leave() { close(f.leaving) }
+func (f *Forwarder) Drain() { close(f.leaving) }
 
 // leavingRetryAfter is the Retry-After sent by an instance that is shutting down; another instance
 // will answer.
--- a/command/forward/forward_test.go
+++ b/command/forward/forward_test.go
@@ -68,25 +68,25 @@
 	mu       sync.Mutex
 	place    Place // guarded by mu in tests that change it concurrently
 	err      error
-	requests []Wanted
+	requests []PlaceRequest
 	// waiting is the number of waiting requests, and onTime the value passed by the last one.
 	waiting int
 	onTime  time.Time
 }
 
-func (f *fakePlacer) Want(_ context.Context, w Wanted) (Place, error) {
+func (f *fakePlacer) RequestPlace(_ context.Context, w PlaceRequest) (Place, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requests = append(f.requests, w)
 	return f.place, f.err
 }
-func (f *fakePlacer) Arrived(serving.Unit, Urgency) {}
-func (f *fakePlacer) Waits(_ serving.Unit, _ int, onTime, _ time.Time) func() {
+func (f *fakePlacer) RecordArrival(serving.Unit, Demand) {}
+func (f *fakePlacer) RegisterWait(_ serving.Unit, _ int, onTime, _ time.Time) func() {
 	f.onTime = onTime
 	f.waiting++
 	return func() { f.waiting-- }
 }
-func (f *fakePlacer) Started(Run) func(bool) { return func(bool) {} }
+func (f *fakePlacer) RegisterRun(Run) func(bool) { return func(bool) {} }
 
 // fixture is a Forwarder with fake dependencies.
 type fixture struct {
@@ -348,7 +348,7 @@
 	f := newFixture(t, reply{status: 200})
 	f.serve("stream", "warm", 4*time.Second)
 	f.placer.place = Place{Engine: "e1", Ready: time.Now().Add(2 * time.Second)}
-	time.AfterFunc(20*time.Millisecond, f.forwarder.Leave)
+	time.AfterFunc(20*time.Millisecond, f.forwarder.Drain)
 	_, failure := f.serve("stream", "cold", 3900*time.Millisecond)
 	if failure == nil || failure.Verdict != verdict.NotRun || failure.Reason != verdict.ReasonDraining {
 		t.Errorf("%v, want a refusal because the instance is draining", failure)
--- a/command/forward/guard.go
+++ b/command/forward/guard.go
@@ -28,31 +28,31 @@
 	// crashed.
 	State(fp serving.Fingerprint, service string) quarantine.State
 	StateOn(fp serving.Fingerprint, s serving.Server) quarantine.State
-	// Ended reports whether a server is known to have crashed although it is still announced.
-	Ended(s serving.Server) bool
-	// Try requests permission for a suspect to run alone on a server, for at most longest. Its
+	// Crashed reports whether a server is known to have crashed although it is still announced.
+	Crashed(s serving.Server) bool
+	// RequestTrial requests permission for a suspect to run alone on a server, for at most longest. Its
 	// errors are ErrTrialBusy and ErrNoHolder.
-	Try(ctx context.Context, fp serving.Fingerprint, s serving.Server, longest time.Duration) (Trial, error)
+	RequestTrial(ctx context.Context, fp serving.Fingerprint, s serving.Server, longest time.Duration) (Trial, error)
 	// Implicated reports whether a server is known to have crashed under a request whose state is
 	// still clear.
 	Implicated(fp serving.Fingerprint) bool
 	// Consult exchanges the records of a request with the holder. Its error is ErrNoHolder.
 	Consult(ctx context.Context, fp serving.Fingerprint) error
-	// RecordFailure records that an answer broke off, and starts a check of whether the server has
+	// RecordBrokenAnswer records that an answer broke off, and starts a check of whether the server has
 	// crashed.
-	RecordFailure(b quarantine.BrokenAttempt) CrashCheck
+	RecordBrokenAnswer(b quarantine.BrokenAttempt) CrashCheck
 	// Inconclusive reports whether answers broke off on a server and it is not known whether it has
 	// crashed.
 	Inconclusive(s serving.Server) bool
-	// Answered records that a request was answered completely and successfully.
-	Answered(fp serving.Fingerprint)
+	// RecordSuccess records that a request was answered completely and successfully.
+	RecordSuccess(fp serving.Fingerprint)
 }
 
 // CrashCheck is the progress of a check of whether a server has crashed.
 type CrashCheck struct {
-	// FirstLook is closed when the server has been probed once, and Done when it is known whether
+	// FirstProbe is closed when the server has been probed once, and Done when it is known whether
 	// it has crashed, as far as that can be determined immediately.
-	FirstLook, Done <-chan struct{}
+	FirstProbe, Done <-chan struct{}
 }
 
 // Trial is a suspect's permission to run alone on a server.
@@ -116,7 +116,7 @@
 		t.excluded[server.ID] = true
 		return false, t.quarantineFailure()
 	}
-	trial, err := t.f.guard.Try(ctx, t.request.Fingerprint, server, clock.Until(t.deadline)+trialSlack)
+	trial, err := t.f.guard.RequestTrial(ctx, t.request.Fingerprint, server, clock.Until(t.deadline)+trialSlack)
 	switch {
 	case err == nil:
 		t.trial = trial
@@ -179,7 +179,7 @@
 	fp := t.request.Fingerprint
 	if failure == nil {
 		if t.out.status < http.StatusMultipleChoices {
-			t.f.guard.Answered(fp)
+			t.f.guard.RecordSuccess(fp)
 		}
 		return
 	}
@@ -193,11 +193,11 @@
 	if !t.firstEventAt.IsZero() {
 		b.RunTime = clock.Since(t.firstEventAt)
 	}
-	check := t.f.guard.RecordFailure(b)
+	check := t.f.guard.RecordBrokenAnswer(b)
 	switch {
 	case clientLeft:
 	case t.f.guard.State(fp, t.service.Name) == quarantine.Clear:
-		awaitCheck(ctx, check.FirstLook, firstCheckTimeout)
+		awaitCheck(ctx, check.FirstProbe, firstCheckTimeout)
 	case !awaitCheck(ctx, check.Done, suspectCheckTimeout):
 		t.f.log.WithFields(t.logFields()).WithFields(logrus.Fields{"server": server.ID}).Info("server check timed out; unknown whether the server has ended")
 	}
--- a/command/forward/guard_test.go
+++ b/command/forward/guard_test.go
@@ -51,9 +51,9 @@
 	return g.State(fp, "")
 }
 
-func (g *fakeGuard) Ended(s serving.Server) bool { return g.ended[s.ID] }
+func (g *fakeGuard) Crashed(s serving.Server) bool { return g.ended[s.ID] }
 
-func (g *fakeGuard) Try(context.Context, serving.Fingerprint, serving.Server, time.Duration) (Trial, error) {
+func (g *fakeGuard) RequestTrial(context.Context, serving.Fingerprint, serving.Server, time.Duration) (Trial, error) {
 	g.tries++
 	if g.busy > 0 {
 		g.busy--
@@ -69,11 +69,11 @@
 	}
 }
 
-func (g *fakeGuard) RecordFailure(b quarantine.BrokenAttempt) CrashCheck {
+func (g *fakeGuard) RecordBrokenAnswer(b quarantine.BrokenAttempt) CrashCheck {
 	g.failures = append(g.failures, b)
 	closed := make(chan struct{})
 	close(closed)
-	return CrashCheck{FirstLook: closed, Done: closed}
+	return CrashCheck{FirstProbe: closed, Done: closed}
 }
 
 func (g *fakeGuard) Implicated(serving.Fingerprint) bool {
@@ -90,7 +90,7 @@
 
 func (g *fakeGuard) Inconclusive(serving.Server) bool { return g.inconclusive }
 
-func (g *fakeGuard) Answered(serving.Fingerprint) { g.answered++ }
+func (g *fakeGuard) RecordSuccess(serving.Fingerprint) { g.answered++ }
 
 // TestQuarantinedBeforeSend: a request that is quarantined while it waits for a load, or between
 // two sends, is not sent, and the refusal is permanent.
--- a/command/forward/intake.go
+++ b/command/forward/intake.go
@@ -20,8 +20,8 @@
 // therefore checked in one place right before each send and not on arrival, since the request may
 // have waited for a load in between.
 
-// Intake tracks which limits servers currently impose on the requests they receive.
-type Intake interface {
+// ServerLimiter tracks which limits servers currently impose on the requests they receive.
+type ServerLimiter interface {
 	// RetryAfterUntil returns until when this instance must not send to a server, or the zero time
 	// if it may.
 	RetryAfterUntil(s serving.Server) time.Time
@@ -36,10 +36,10 @@
 // Admission is the answer to a request for permission to send.
 type Admission struct {
 	Granted bool
-	// GiveBack returns the permission if nothing is sent after all.
-	GiveBack func()
-	// After is the time to wait before asking again if permission is not granted.
-	After time.Duration
+	// Refund returns the permission if nothing is sent after all.
+	Refund func()
+	// RetryAfter is the time to wait before asking again if permission is not granted.
+	RetryAfter time.Duration
 	// Rate is the number of requests per second that the server accepts.
 	Rate float64
 }
@@ -117,15 +117,15 @@
 	_, waited := t.serverLimits.retryAt[server.ID]
 	a := t.f.intake.Admit(ctx, server, quota.Turn{Spare: t.serverLimits.hasAlternative || deferrable(t.route), Waited: waited}, !t.serverLimits.hasAlternative)
 	if a.Granted {
-		t.serverLimits.refund = a.GiveBack
+		t.serverLimits.refund = a.Refund
 		return true
 	}
 	if t.serverLimits.retryAt == nil {
 		t.serverLimits.retryAt = map[string]time.Time{}
 	}
-	t.serverLimits.retryAt[server.ID] = clock.Now().Add(a.After)
+	t.serverLimits.retryAt[server.ID] = clock.Now().Add(a.RetryAfter)
 	t.f.log.WithFields(t.logFields()).WithFields(logrus.Fields{
-		"server": server.ID, "rate": a.Rate, "spare": t.serverLimits.hasAlternative, "after_ms": a.After.Milliseconds(),
+		"server": server.ID, "rate": a.Rate, "spare": t.serverLimits.hasAlternative, "after_ms": a.RetryAfter.Milliseconds(),
 	}).Info("server limit reached")
 	return false
 }
--- a/command/forward/intake_test.go
+++ b/command/forward/intake_test.go
@@ -45,10 +45,10 @@
 		i.spare++
 	}
 	if i.limits[s.ID] == 0 {
-		return Admission{After: i.after}
+		return Admission{RetryAfter: i.after}
 	}
 	i.limits[s.ID]--
-	return Admission{Granted: true, GiveBack: func() { i.returned++ }}
+	return Admission{Granted: true, Refund: func() { i.returned++ }}
 }
 
 // TestServerLimitRespected: a server with a limit receives only what it admits, the other requests
--- a/command/forward/route_test.go
+++ b/command/forward/route_test.go
@@ -41,16 +41,16 @@
 func TestNoRouteWithOutdatedConfiguration(t *testing.T) {
 	const inForce = 2 * time.Second
 	tests := map[string]struct {
-		known     access.Knowledge
+		known     access.Freshness
 		policy    access.Policy
 		permanent bool
 	}{
-		"current":                       {access.Knowledge{Age: time.Second}, access.Policy{InForce: inForce}, true},
-		"older than one may take":       {access.Knowledge{Age: inForce}, access.Policy{InForce: inForce}, false},
-		"a newer one was heard of":      {access.Knowledge{Newer: true}, access.Policy{InForce: inForce}, false},
-		"current, no bound":             {access.Knowledge{Age: 2 * time.Second}, access.Policy{}, true},
-		"cut off, no bound":             {access.Knowledge{Age: time.Minute}, access.Policy{}, false},
-		"nearly as old as one may take": {access.Knowledge{Age: 1900 * time.Millisecond}, access.Policy{InForce: inForce}, false},
+		"current":                       {access.Freshness{Age: time.Second}, access.Policy{PropagationBound: inForce}, true},
+		"older than one may take":       {access.Freshness{Age: inForce}, access.Policy{PropagationBound: inForce}, false},
+		"a newer one was heard of":      {access.Freshness{NewerExists: true}, access.Policy{PropagationBound: inForce}, false},
+		"current, no bound":             {access.Freshness{Age: 2 * time.Second}, access.Policy{}, true},
+		"cut off, no bound":             {access.Freshness{Age: time.Minute}, access.Policy{}, false},
+		"nearly as old as one may take": {access.Freshness{Age: 1900 * time.Millisecond}, access.Policy{PropagationBound: inForce}, false},
 	}
 	for name, test := range tests {
 		f := newFixture(t, reply{status: 200})
--- a/command/forward/transaction.go
+++ b/command/forward/transaction.go
@@ -79,7 +79,7 @@
 	t.deadline = r.Arrived.Add(allowed)
 	f.budget.RecordRequest(t.service.Name, r.Arrived)
 	if t.service.Engine != nil && r.Unit.Model != "" {
-		f.placer.Arrived(r.Unit, Urgency{Priority: route.Priority, Deferrable: deferrable(route), Late: t.lateProbability()})
+		f.placer.RecordArrival(r.Unit, Demand{Priority: route.Priority, Deferrable: deferrable(route), LateProbability: t.lateProbability()})
 	}
 	return t
 }
@@ -177,7 +177,7 @@
 	now := clock.Now()
 	allowed := t.f.budget.Take(t.service.Name, now)
 	t.f.counts.repeatedSend(t.service.Name, allowed)
-	s := t.f.budget.Spending(t.service.Name, now)
+	s := t.f.budget.State(t.service.Name, now)
 	t.f.log.WithFields(logrus.Fields{
 		"request": t.request.ID, "service": t.service.Name, "allowed": allowed, "requests": s.Requests, "repeats": s.Repeats,
 		"left": s.Level, "instances": s.Instances, "age_ms": s.Age.Milliseconds(),
@@ -230,7 +230,7 @@
 	balancerDone := t.f.balancer.Start(server.ID, server.FailureDomain)
 	placerDone := func(bool) {}
 	if t.request.Unit.Model != "" {
-		placerDone = t.f.placer.Started(Run{Engine: server.ID, Unit: t.request.Unit, Deferrable: deferrable(t.route), Only: t.soleReplica})
+		placerDone = t.f.placer.RegisterRun(Run{Engine: server.ID, Unit: t.request.Unit, Deferrable: deferrable(t.route), SoleReplica: t.soleReplica})
 	}
 	outcome := balance.Neutral
 	defer func() {
--- a/command/forward/want.go
+++ b/command/forward/want.go
@@ -13,11 +13,11 @@
 // called again at the returned time. expected is the server on which the unit should be loaded by
 // now, if there is one; it is used if the holder cannot be asked.
 func (t *transaction) requestPlace(ctx context.Context, expected serving.Server) (serving.Server, time.Time, *verdict.Failure) {
-	place, err := t.f.placer.Want(ctx, Wanted{
+	place, err := t.f.placer.RequestPlace(ctx, PlaceRequest{
 		Service: t.service.Name, Unit: t.request.Unit, Missing: t.missing, Unreachable: t.unreachable,
 	})
 	t.missing, t.unreachable = "", ""
-	t.waits.setCause(place.For)
+	t.waits.setCause(place.Cause)
 	switch {
 	case ctx.Err() != nil:
 		return serving.Server{}, time.Time{}, verdict.Refuse(verdict.ReasonDeadline, "the time was over before a place for %s was known", t.request.Unit)
--- a/command/holder/exchange.go
+++ b/command/holder/exchange.go
@@ -156,7 +156,7 @@
 	// Servers are the changes since SeenServers.
 	Servers directory.Delta
 	// Config states the version of the configuration in force at the holder and how old that information is.
-	Config access.Word
+	Config access.ConfigStatus
 	// RemoteAtOnce is the estimated number of concurrent loads from the weight store that run at full speed. A
 	// successor uses it instead of measuring it again.
 	RemoteAtOnce float64
@@ -202,7 +202,7 @@
 	reply.Peers = h.reports.peers.count(r.Domain, now)
 	reply.Views, reply.Seen = h.views.since(r.SeenViews, h.fleet, now)
 	if config, confirmedAt := h.dir.Current(); config != nil {
-		reply.Config = access.Word{Version: config.Version, Age: now.Sub(confirmedAt)}
+		reply.Config = access.ConfigStatus{Version: config.Version, Age: now.Sub(confirmedAt)}
 	}
 	return reply, nil
 }
--- a/entry/access.go
+++ b/entry/access.go
@@ -42,8 +42,8 @@
 
 // keysTrusted reports whether requests that need a key are served. It is true if the configuration
 // requires no keys.
-func (g *accessControl) keysTrusted(config *serving.Config, known access.Knowledge) bool {
-	return config == nil || !config.Guarded() || g.Policy().Trusts(known.Age)
+func (g *accessControl) keysTrusted(config *serving.Config, known access.Freshness) bool {
+	return config == nil || !config.Guarded() || g.Policy().KeysTrusted(known.Age)
 }
 
 // trustCheckInterval is how often run checks, for the log, whether keys are trusted.
@@ -59,7 +59,7 @@
 			continue
 		}
 		wasTrusted = trusted
-		log := g.log.WithFields(logrus.Fields{"config": config.Version, "config_age_ms": known.Age.Milliseconds(), "trusted_ms": g.Policy().Trusted().Milliseconds(), "holder_answers": known.Reached})
+		log := g.log.WithFields(logrus.Fields{"config": config.Version, "config_age_ms": known.Age.Milliseconds(), "trusted_ms": g.Policy().MaxAge().Milliseconds(), "holder_answers": known.HolderReachable})
 		if wasTrusted {
 			log.Info("keys are trusted again")
 		} else {
@@ -69,16 +69,16 @@
 }
 
 // Current implements forward.Access.
-func (g *accessControl) Current() (*serving.Config, access.Knowledge) {
+func (g *accessControl) Current() (*serving.Config, access.Freshness) {
 	now := clock.Exact()
 	config, confirmedAt := g.dir.Current()
-	return config, access.Knowledge{Age: now.Sub(confirmedAt), Newer: g.watcher.newerConfigKnown(), Reached: g.holderResponds(now)}
+	return config, access.Freshness{Age: now.Sub(confirmedAt), NewerExists: g.watcher.newerConfigKnown(), HolderReachable: g.holderResponds(now)}
 }
 
 // Policy implements forward.Access.
 func (g *accessControl) Policy() access.Policy {
 	s := g.settings()
-	return access.Policy{FailClosed: s.Bounds.RevokeFailClosed, Bound: s.RevokeBound(), InForce: s.ConfigurationBound()}
+	return access.Policy{FailClosed: s.Bounds.RevokeFailClosed, Bound: s.RevokeBound(), PropagationBound: s.ConfigurationBound()}
 }
 
 // holderResponds reports whether the holder has answered within holderTimeout.
--- a/entry/calls_test.go
+++ b/entry/calls_test.go
@@ -88,7 +88,7 @@
 		defer watching(t, w)()
 		time.Sleep(time.Second)
 		for range 5 {
-			w.applyHolderUpdate(holder.Update{Config: access.Word{Version: 1}, Servers: directory.Delta{Digest: w.dir.Digest()}}, time.Now(), time.Now())
+			w.applyHolderUpdate(holder.Update{Config: access.ConfigStatus{Version: 1}, Servers: directory.Delta{Digest: w.dir.Digest()}}, time.Now(), time.Now())
 			time.Sleep(time.Second)
 		}
 		if config, servers := s.config.Load(), s.servers.Load(); config != 1 || servers != 0 {
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -112,7 +112,7 @@
 	f.play(10*time.Second, func(context.Context) {})
 	f.check(0)
 	f.await("all engines used again", func() bool {
-		return !slices.ContainsFunc(f.instances[0].dir.Servers("llm"), f.instances[0].crashes.Ended)
+		return !slices.ContainsFunc(f.instances[0].dir.Servers("llm"), f.instances[0].crashes.Crashed)
 	})
 }
 
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -66,8 +66,8 @@
 	maxFailures = 1024
 )
 
-// RecordFailure implements forward.Guard.
-func (c *crashDetector) RecordFailure(b quarantine.BrokenAttempt) forward.CrashCheck {
+// RecordBrokenAnswer implements forward.Guard.
+func (c *crashDetector) RecordBrokenAnswer(b quarantine.BrokenAttempt) forward.CrashCheck {
 	now := clock.Now()
 	incarnation := quarantine.IncarnationOf(b.Server)
 	if s, known := c.dir.Server(incarnation.Server); !known || s.Draining || s.Born != incarnation.Born {
@@ -99,9 +99,9 @@
 	if w.check == nil {
 		return completedCheck
 	}
-	check := forward.CrashCheck{FirstLook: w.check.probed, Done: w.check.done}
+	check := forward.CrashCheck{FirstProbe: w.check.probed, Done: w.check.done}
 	if now.Sub(w.lastSeen) < probeSpacing {
-		check.FirstLook = closedChannel // the next probe is not immediate
+		check.FirstProbe = closedChannel // the next probe is not immediate
 	}
 	return check
 }
@@ -113,10 +113,10 @@
 }()
 
 // completedCheck is returned if nothing more can be learned about a server.
-var completedCheck = forward.CrashCheck{FirstLook: closedChannel, Done: closedChannel}
+var completedCheck = forward.CrashCheck{FirstProbe: closedChannel, Done: closedChannel}
 
-// Answered implements forward.Guard.
-func (c *crashDetector) Answered(fp serving.Fingerprint) {
+// RecordSuccess implements forward.Guard.
+func (c *crashDetector) RecordSuccess(fp serving.Fingerprint) {
 	before, changed := c.ledger.RecordAnswer(fp, clock.Now())
 	if !changed {
 		return
@@ -125,8 +125,8 @@
 	c.quarantine.recordCleared(fp, before)
 }
 
-// Ended implements forward.Guard.
-func (c *crashDetector) Ended(s serving.Server) bool {
+// Crashed implements forward.Guard.
+func (c *crashDetector) Crashed(s serving.Server) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.incarnations[quarantine.IncarnationOf(s)]
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -322,7 +322,7 @@
 	i.members.unregister(ctx)
 	cancel()
 	time.Sleep(time.Until(start.Add(balancerDelay)))
-	i.forwarder.Leave()
+	i.forwarder.Drain()
 	i.clients.drain(deadline)
 }
 
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -109,7 +109,7 @@
 func TestStreamGoesOn(t *testing.T) {
 	f := newFleet(t, 1)
 	r := f.instances[0]
-	f.await("a repeated send for each server to spend", func() bool { return r.budget.Spending("llm", time.Now()).Level >= float64(len(f.servers)) })
+	f.await("a repeated send for each server to spend", func() bool { return r.budget.State("llm", time.Now()).Level >= float64(len(f.servers)) })
 	for _, s := range f.servers {
 		s.CutStreams(1)
 	}
--- a/entry/follower.go
+++ b/entry/follower.go
@@ -94,7 +94,7 @@
 	holderOutage      uint64
 	holderOutageSince time.Time
 	// cachedPlaces are recent answers of the holder to Want; guarded by mu.
-	cachedPlaces map[forward.Wanted]cachedPlace
+	cachedPlaces map[forward.PlaceRequest]cachedPlace
 
 	// reportRequested wakes run to send the next report at once.
 	reportRequested chan struct{}
@@ -146,7 +146,7 @@
 func newFollower(name string, h *holder.Holder, dir *directory.Directory, pool *rpcpool.Pool, m *members, log logrus.FieldLogger) *follower {
 	return &follower{
 		name: name, holder: h, dir: dir, pool: pool, members: m, log: log,
-		arrivals: map[string]*holder.Arrivals{}, running: map[unitOnEngine]int{}, waiting: map[string]map[*waitingRequest]struct{}{}, cachedPlaces: map[forward.Wanted]cachedPlace{}, instances: assumedInstances, minInterval: exchangeInterval,
+		arrivals: map[string]*holder.Arrivals{}, running: map[unitOnEngine]int{}, waiting: map[string]map[*waitingRequest]struct{}{}, cachedPlaces: map[forward.PlaceRequest]cachedPlace{}, instances: assumedInstances, minInterval: exchangeInterval,
 		reportRequested: make(chan struct{}, 1), ledger: quarantine.NewLedger(), shares: quota.NewShares(0), onRaised: func([]quarantine.Escalation) {},
 	}
 }
@@ -268,7 +268,7 @@
 // configuration is. The answer was created after sent, when the report was sent.
 func (f *follower) applyLimits(reply *ExchangeReply, sent, now time.Time) {
 	if config := reply.News.Config; config.Version > 0 {
-		f.dir.Confirm(config.Version, config.AsOf(sent))
+		f.dir.Confirm(config.Version, config.ConfirmedAt(sent))
 	}
 	if reply.Lends {
 		f.shares.Apply(reply.Loans, sent, now)
--- a/entry/peers_test.go
+++ b/entry/peers_test.go
@@ -48,7 +48,7 @@
 	f.watcher = newTestWatcher(nil, f.dir, discardLog())
 	for _, n := range []int{6, 0, 4} {
 		f.applyUpdate(lease.Record{Holder: "h"}, &ExchangeReply{Held: true, News: holder.Update{Peers: n}}, time.Now(), time.Now())
-		if got := f.budget.Spending("s", time.Now()).Instances; got != 6 {
+		if got := f.budget.State("s", time.Now()).Instances; got != 6 {
 			t.Errorf("the budget is shared by %d after the holder told %d, want 6", got, n)
 		}
 	}
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -15,8 +15,8 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Arrived implements forward.Placer.
-func (f *follower) Arrived(unit serving.Unit, urgency forward.Urgency) {
+// RecordArrival implements forward.Placer.
+func (f *follower) RecordArrival(unit serving.Unit, urgency forward.Demand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	a := f.arrivalsFor(unit.Model)
@@ -25,7 +25,7 @@
 		a.Deferrable++
 	}
 	a.Weight += serving.Weight(urgency.Priority)
-	a.Late += serving.Weight(urgency.Priority) * urgency.Late
+	a.Late += serving.Weight(urgency.Priority) * urgency.LateProbability
 }
 
 // arrivalsFor returns the arrivals of requests for a model since the last report. f.mu must be held.
@@ -48,8 +48,8 @@
 	expires time.Time
 }
 
-// Waits implements forward.Placer.
-func (f *follower) Waits(unit serving.Unit, priority int, onTimeUntil, expires time.Time) func() {
+// RegisterWait implements forward.Placer.
+func (f *follower) RegisterWait(unit serving.Unit, priority int, onTimeUntil, expires time.Time) func() {
 	w := &waitingRequest{weight: serving.Weight(priority), onTimeUntil: onTimeUntil, expires: expires}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,9 +81,9 @@
 	return waiting
 }
 
-// Started implements forward.Placer.
-func (f *follower) Started(r forward.Run) func(answered bool) {
-	if r.Only {
+// RegisterRun implements forward.Placer.
+func (f *follower) RegisterRun(r forward.Run) func(answered bool) {
+	if r.SoleReplica {
 		f.reportUse(r.Engine, r.Unit)
 	}
 	key := unitOnEngine{r.Engine, r.Unit}
@@ -121,8 +121,8 @@
 // burst for one model asks the holder once.
 const placeLifetime = 60 * time.Millisecond
 
-// Want implements forward.Placer.
-func (f *follower) Want(ctx context.Context, w forward.Wanted) (forward.Place, error) {
+// RequestPlace implements forward.Placer.
+func (f *follower) RequestPlace(ctx context.Context, w forward.PlaceRequest) (forward.Place, error) {
 	now := clock.Now()
 	f.mu.Lock()
 	known, found := f.cachedPlaces[w]
@@ -133,7 +133,7 @@
 	place, err := f.queryPlace(ctx, w)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	maps.DeleteFunc(f.cachedPlaces, func(_ forward.Wanted, p cachedPlace) bool { return now.Sub(p.at) >= placeLifetime })
+	maps.DeleteFunc(f.cachedPlaces, func(_ forward.PlaceRequest, p cachedPlace) bool { return now.Sub(p.at) >= placeLifetime })
 	if ctx.Err() == nil {
 		f.cachedPlaces[w] = cachedPlace{place: place, err: err, at: clock.Now()}
 	}
@@ -151,13 +151,13 @@
 }
 
 // queryPlace asks the holder where a unit is or will be loaded.
-func (f *follower) queryPlace(ctx context.Context, w forward.Wanted) (forward.Place, error) {
+func (f *follower) queryPlace(ctx context.Context, w forward.PlaceRequest) (forward.Place, error) {
 	f.mu.Lock()
 	record, unanswered := f.record, clock.Since(f.lastAnswer)
 	waiting := f.waitingFor(w.Unit.Model, clock.Now())
 	f.mu.Unlock()
 	if unanswered > holderTimeout || record.Released {
-		return forward.Place{Ready: clock.Now().Add(f.expectedTakeover(record, unanswered)), For: serving.WaitHolder}, forward.ErrNoHolder
+		return forward.Place{Ready: clock.Now().Add(f.expectedTakeover(record, unanswered)), Cause: serving.WaitHolder}, forward.ErrNoHolder
 	}
 	var reply WantReply
 	args := &WantArgs{holder.Request{
@@ -165,14 +165,14 @@
 		HeldBack: f.limiter.heldBack(w.Service, w.Unit, clock.Now()),
 	}}
 	if err := f.call(ctx, record, callTimeout, methodWant, args, &reply); err != nil {
-		return forward.Place{Ready: clock.Now().Add(exchangeRetry), For: serving.WaitHolder}, errors.Wrap(forward.ErrNoHolder, err.Error())
+		return forward.Place{Ready: clock.Now().Add(exchangeRetry), Cause: serving.WaitHolder}, errors.Wrap(forward.ErrNoHolder, err.Error())
 	}
 	ready := clock.Now().Add(time.Duration(reply.InMS) * time.Millisecond)
 	switch {
 	case !reply.Held:
-		return forward.Place{Ready: clock.Now().Add(holderTimeout), For: serving.WaitHolder}, forward.ErrNoHolder
+		return forward.Place{Ready: clock.Now().Add(holderTimeout), Cause: serving.WaitHolder}, forward.ErrNoHolder
 	case !reply.Found:
-		return forward.Place{Ready: ready, For: serving.WaitEngine}, forward.ErrNoRoom
+		return forward.Place{Ready: ready, Cause: serving.WaitEngine}, forward.ErrNoRoom
 	}
-	return forward.Place{Engine: reply.Engine, Ready: ready, For: reply.For}, nil
+	return forward.Place{Engine: reply.Engine, Ready: ready, Cause: reply.For}, nil
 }
--- a/entry/serverlimiter.go
+++ b/entry/serverlimiter.go
@@ -153,13 +153,13 @@
 		return forward.Admission{Granted: true}
 	}
 	now := clock.Exact()
-	a := forward.Admission{Rate: rate, GiveBack: func() { i.shares.Refund(s.ID, 1, now, clock.Exact()) }}
+	a := forward.Admission{Rate: rate, Refund: func() { i.shares.Refund(s.ID, 1, now, clock.Exact()) }}
 	a.Granted = i.shares.Take(s.ID, 1, now)
 	if !a.Granted {
-		a.Granted, a.After = i.askHolder(ctx, s, rate, t)
+		a.Granted, a.RetryAfter = i.askHolder(ctx, s, rate, t)
 	}
 	if !a.Granted {
-		i.recordRefused(s.ID, rate, only, a.After)
+		i.recordRefused(s.ID, rate, only, a.RetryAfter)
 	}
 	return a
 }
