--- a/command/access/access.go
+++ b/command/access/access.go
@@ -42,13 +42,14 @@
 	return time.Duration((1 - safetyMargin) * float64(p.Bound))
 }
 
-// KeysTrusted reports whether keys are relied on if the last confirmation of the configuration has the
-// given age.
+// KeysTrusted reports whether keys are relied on if the last confirmation of the configuration has
+// the given age.
 func (p Policy) KeysTrusted(age time.Duration) bool {
 	return !p.FailClosed || age <= p.MaxAge()
 }
 
-// ConfigStatus is a message from one instance to another that states how current its configuration is.
+// ConfigStatus is a message from one instance to another that states how current its configuration
+// is.
 type ConfigStatus struct {
 	// Version is that of the configuration in force there, 0 if there is none.
 	Version int64
@@ -57,10 +58,10 @@
 	Age time.Duration
 }
 
-// ConfirmedAt returns the time at which it was last certain that there was no newer configuration, by the
-// clock of the receiver. sentAt is when the receiver sent the request that was answered with the
-// message; since the message was created later, the result is a safe lower bound.
-func (w ConfigStatus) ConfirmedAt(sentAt time.Time) time.Time { return sentAt.Add(-w.Age) }
+// ConfirmedAt returns the time at which it was last certain that there was no newer configuration,
+// by the clock of the receiver. sentAt is when the receiver sent the request that was answered with
+// the message; since the message was created later, the result is a safe lower bound.
+func (s ConfigStatus) ConfirmedAt(sentAt time.Time) time.Time { return sentAt.Add(-s.Age) }
 
 // Freshness states how current the configuration is known to be when a request is judged.
 type Freshness struct {
@@ -68,8 +69,8 @@
 	Age time.Duration
 	// NewerExists is set if a newer configuration is known to exist but has not been received yet.
 	NewerExists bool
-	// HolderReachable is set if another instance that relays updates from the store can be reached, so that
-	// this instance is not isolated on its own.
+	// HolderReachable is set if another instance that relays updates from the store can be reached,
+	// so that this instance is not isolated on its own.
 	HolderReachable bool
 }
 
@@ -93,37 +94,37 @@
 // AbsenceIsCertain reports whether a route or a key that is not in the configuration certainly does
 // not exist. If it may exist, the request must not be refused permanently, since its client would
 // not retry.
-func (p Policy) AbsenceIsCertain(k Freshness) bool {
+func (p Policy) AbsenceIsCertain(f Freshness) bool {
 	maxAge := maxAbsenceAge
 	if p.PropagationBound > 0 {
 		maxAge = min(maxAge, time.Duration((1-safetyMargin)*float64(p.PropagationBound)))
 	}
-	return !k.NewerExists && k.Age <= maxAge
+	return !f.NewerExists && f.Age <= maxAge
 }
 
 // NoRoute returns the refusal of a request for which the configuration has no route.
-func NoRoute(c *serving.Config, r *serving.Request, k Freshness, p Policy) *verdict.Failure {
-	if !p.AbsenceIsCertain(k) {
+func NoRoute(c *serving.Config, r *serving.Request, f Freshness, p Policy) *verdict.Failure {
+	if !p.AbsenceIsCertain(f) {
 		return verdict.Refuse(verdict.ReasonPlatform, "no route of configuration %d for %s%s, and that may be out of date: the last word is %s old",
-			c.Version, r.Host, r.Path(), k.Age.Round(time.Millisecond)).After(outdatedRetryAfter)
+			c.Version, r.Host, r.Path(), f.Age.Round(time.Millisecond)).After(outdatedRetryAfter)
 	}
 	return verdict.Refuse(verdict.ReasonNoRoute, "no route of configuration %d for %s%s", c.Version, r.Host, r.Path())
 }
 
 // Authorize returns the workspace of a request for a route, nil if the request needs no key, or the
 // reason why it may not run.
-func Authorize(c *serving.Config, route *serving.Route, credential serving.Credential, k Freshness, p Policy) (*serving.Workspace, *verdict.Failure) {
+func Authorize(c *serving.Config, route *serving.Route, credential serving.Credential, f Freshness, p Policy) (*serving.Workspace, *verdict.Failure) {
 	if !c.Guarded() || route.Public {
 		return nil, nil
 	}
-	if !p.KeysTrusted(k.Age) {
-		return nil, verdict.Refuse(verdict.ReasonPlatform, "it is not known whether keys were taken away, the last word is %s old", k.Age.Round(time.Millisecond)).After(k.retryAfter())
+	if !p.KeysTrusted(f.Age) {
+		return nil, verdict.Refuse(verdict.ReasonPlatform, "it is not known whether keys were taken away, the last word is %s old", f.Age.Round(time.Millisecond)).After(f.retryAfter())
 	}
 	workspace, detail := findWorkspace(c, credential)
 	switch {
 	case workspace != nil:
 		return workspace, nil
-	case !p.AbsenceIsCertain(k):
+	case !p.AbsenceIsCertain(f):
 		return nil, verdict.Refuse(verdict.ReasonPlatform, "%s as far as is known, and that may be out of date", detail).After(outdatedRetryAfter)
 	}
 	return nil, verdict.Refuse(verdict.ReasonUnauthorized, "%s", detail)
@@ -145,8 +146,8 @@
 }
 
 // retryAfter returns the Retry-After of a request refused because the knowledge is too old.
-func (k Freshness) retryAfter() time.Duration {
-	if k.HolderReachable {
+func (f Freshness) retryAfter() time.Duration {
+	if f.HolderReachable {
 		return outageRetryAfter
 	}
 	return isolatedRetryAfter
--- a/command/access/access_test.go
+++ b/command/access/access_test.go
@@ -23,7 +23,7 @@
 	for name, c := range map[string]struct {
 		credential serving.Credential
 		public     bool
-		knowledge  Freshness
+		freshness  Freshness
 		policy     Policy
 		want       string
 	}{
@@ -41,7 +41,7 @@
 		"two keys":                           {serving.Credential{Form: serving.KeyRepeated}, false, Freshness{}, failClosed, string(verdict.ReasonUnauthorized)},
 		"public":                             {serving.Credential{}, true, Freshness{Age: time.Hour}, failClosed, allowed},
 	} {
-		workspace, failure := Authorize(config, &serving.Route{Public: c.public}, c.credential, c.knowledge, c.policy)
+		workspace, failure := Authorize(config, &serving.Route{Public: c.public}, c.credential, c.freshness, c.policy)
 		got := ""
 		if failure != nil {
 			got = string(failure.Reason)
--- a/command/access/search_test.go
+++ b/command/access/search_test.go
@@ -123,11 +123,11 @@
 }
 
 // execute executes the call of a node, with the given result.
-func (s *state) execute(node int, w access.ConfigStatus) bool {
+func (s *state) execute(node int, status access.ConfigStatus) bool {
 	if s.calls[node] == nil || s.calls[node].answer != nil {
 		return false
 	}
-	s.calls[node] = &call{sentAt: s.calls[node].sentAt, answer: &w}
+	s.calls[node] = &call{sentAt: s.calls[node].sentAt, answer: &status}
 	return true
 }
 
--- a/command/backpressure/alone.go
+++ b/command/backpressure/holderless.go
@@ -9,9 +9,9 @@
 	"github.com/martenport/martenport/rendezvous"
 )
 
-// HolderlessLimiter limits what an instance sends to rate-limited servers while no holder lends. This happens when
-// a failure domain is cut off, or when the store is unavailable and a lost holder cannot be replaced;
-// rate-limited servers may then be the only ones available.
+// HolderlessLimiter limits what an instance sends to rate-limited servers while no holder lends. This
+// happens when a failure domain is cut off, or when the store is unavailable and a lost holder cannot be
+// replaced; rate-limited servers may then be the only ones available.
 //
 // The instances of the server's failure domain divide its rate without communicating: some of them,
 // chosen by hash, gain equal parts of it, and the others send nothing. Each starts empty when all
@@ -32,38 +32,38 @@
 // sharerCount returns how many of the peers share a server with the given rate, in requests per second.
 func sharerCount(peers []string, rate float64) int { return min(len(peers), 2+int(rate)) }
 
-// NewHolderlessLimiter returns an empty Alone for the named instance.
+// NewHolderlessLimiter returns an empty HolderlessLimiter for the named instance.
 func NewHolderlessLimiter(self string) *HolderlessLimiter {
 	return &HolderlessLimiter{self: self, buckets: map[string]*quota.Bucket{}}
 }
 
 // Reset records that a holder has lent shares.
-func (a *HolderlessLimiter) Reset() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	clear(a.buckets)
+func (l *HolderlessLimiter) Reset() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	clear(l.buckets)
 }
 
 // Take takes one send to a server from this instance's part of the server's rate. lent is when a holder
 // last lent shares, and peers are the instances of the server's failure domain. If the send is not
 // possible now, after is the time until it will be; 0 if this instance has no part.
-func (a *HolderlessLimiter) Take(server string, rate float64, peers []string, lent, now time.Time) (ok bool, after time.Duration) {
+func (l *HolderlessLimiter) Take(server string, rate float64, peers []string, lent, now time.Time) (ok bool, after time.Duration) {
 	n := sharerCount(peers, rate)
-	if !isSharer(server, a.self, peers, n) {
+	if !isSharer(server, l.self, peers, n) {
 		return false, 0
 	}
 	begins := lent.Add(time.Duration((1 + lifetimeSlack) * float64(shareLifetime)))
 	if now.Before(begins) {
 		return false, begins.Sub(now)
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	share := quota.Share{Rate: LentLimit(rate).Rate / float64(n), Saved: 1}
-	bucket := a.buckets[server]
+	bucket := l.buckets[server]
 	if bucket == nil {
 		empty := quota.NewBucket(0, begins)
 		bucket = &empty
-		a.buckets[server] = bucket
+		l.buckets[server] = bucket
 	}
 	bucket.Refill(share, now)
 	if bucket.Take(1) {
--- a/command/backpressure/ledger.go
+++ b/command/backpressure/ledger.go
@@ -176,7 +176,7 @@
 	return e.accountingRate(now)
 }
 
-// accountingRate implements Account. The ledger's mu must be held.
+// accountingRate implements AccountingRate. The ledger's mu must be held.
 func (e *entry) accountingRate(now time.Time) (rate float64, ok bool) {
 	if !e.known || !e.limit.Advertised && now.Sub(e.withdrawnAt) > accountingRetention {
 		return 0, false
--- a/command/backpressure/limits.go
+++ b/command/backpressure/limits.go
@@ -9,8 +9,8 @@
 
 // The limit of a server is lent to instances like the limit of a workspace (package quota). In a window,
 // and over all instances, the deployment allows 1.5 times the advertised rate plus 5 requests. A part of
-// that is lent, and the rest is left for instances without a holder (Alone): while the holder is lost,
-// instances may also use what they have saved up from its shares.
+// that is lent, and the rest is left for instances without a holder (HolderlessLimiter): while the holder
+// is lost, instances may also use what they have saved up from its shares.
 const (
 	window  = 4 * time.Second
 	overage = 0.25
--- a/command/backpressure/simulation_test.go
+++ b/command/backpressure/simulation_test.go
@@ -14,11 +14,11 @@
 
 // simulation runs several instances that send to one rate-limited server, in virtual time.
 type simulation struct {
-	rate   float64
-	now    time.Time
-	names  []string
-	shares []*quota.Shares
-	alone  []*HolderlessLimiter
+	rate       float64
+	now        time.Time
+	names      []string
+	shares     []*quota.Shares
+	holderless []*HolderlessLimiter
 	// lent is when the holder last lent shares to each instance.
 	lent []time.Time
 	// lender is nil while there is no holder.
@@ -34,7 +34,7 @@
 		name := fmt.Sprintf("i%d", i)
 		s.names = append(s.names, name)
 		s.shares = append(s.shares, quota.NewShares(QuotaParams().Lifetime))
-		s.alone = append(s.alone, NewHolderlessLimiter(name))
+		s.holderless = append(s.holderless, NewHolderlessLimiter(name))
 		s.lent = append(s.lent, epoch)
 	}
 	return s
@@ -51,11 +51,11 @@
 	}
 	s.shares[i].Apply(s.lender.Lend(s.names[i], uses, s.limits, s.now), s.now, s.now)
 	s.lent[i] = s.now
-	s.alone[i].Reset()
+	s.holderless[i].Reset()
 }
 
 // ask has a request at an instance ask whether it may be sent. If there is a holder, after is the time
-// after which to ask again, otherwise the one that Alone returns.
+// after which to ask again, otherwise the one that HolderlessLimiter returns.
 func (s *simulation) ask(i int, turn quota.Turn) (sent bool, after time.Duration) {
 	sent = s.shares[i].Take("e", 1, s.now)
 	switch {
@@ -64,7 +64,7 @@
 		answer := s.lender.GrantInTurn("e", LentLimit(s.rate), turn, s.now)
 		sent, after = answer.Granted, answer.After
 	default:
-		sent, after = s.alone[i].Take("e", s.rate, s.names, s.lent[i], s.now)
+		sent, after = s.holderless[i].Take("e", s.rate, s.names, s.lent[i], s.now)
 	}
 	if sent {
 		s.sent = append(s.sent, s.now)
@@ -109,7 +109,7 @@
 				sim.lender = quota.NewLender(QuotaParams(), false, nil, sim.now)
 				sim.lender.ExpectReports(sim.names)
 			case 4: // the instance restarts
-				sim.shares[i], sim.alone[i], sim.lent[i] = quota.NewShares(QuotaParams().Lifetime), NewHolderlessLimiter(sim.names[i]), sim.now
+				sim.shares[i], sim.holderless[i], sim.lent[i] = quota.NewShares(QuotaParams().Lifetime), NewHolderlessLimiter(sim.names[i]), sim.now
 			}
 			sim.now = sim.now.Add(step)
 		}
--- a/command/forward/forward.go
+++ b/command/forward/forward.go
@@ -78,13 +78,13 @@
 
 // Placer requests the loading of units.
 type Placer interface {
-	// RequestPlace returns where the unit will be, without waiting for the load. Its errors are ErrNoHolder
-	// and ErrNoRoom; Place.Ready is then the time to ask again.
-	RequestPlace(ctx context.Context, w PlaceRequest) (Place, error)
+	// RequestPlace returns where the unit will be, without waiting for the load. Its errors are
+	// ErrNoHolder and ErrNoRoom; Place.Ready is then the time to ask again.
+	RequestPlace(ctx context.Context, r PlaceRequest) (Place, error)
 	// RecordArrival records a request for a unit, for demand forecasts.
-	RecordArrival(unit serving.Unit, urgency Demand)
-	// RegisterWait records that a request waits for a unit to be loaded, until the returned function is
-	// called. onTime is the latest time at which a load can begin and still lead to an answer
+	RecordArrival(unit serving.Unit, demand Demand)
+	// RegisterWait records that a request waits for a unit to be loaded, until the returned function
+	// is called. onTime is the latest time at which a load can begin and still lead to an answer
 	// within the request's objective, and leaves is when its client gives up.
 	RegisterWait(unit serving.Unit, priority int, onTime, leaves time.Time) func()
 	// RegisterRun records that a request is running on an engine, until the returned function is
@@ -119,7 +119,7 @@
 	budget   *Budget
 	guard    Guard
 	access   Access
-	intake   ServerLimiter
+	limiter  ServerLimiter
 	log      logrus.FieldLogger
 	counts   *Counts
 	// leaving is closed when the instance begins to shut down.
@@ -127,9 +127,9 @@
 }
 
 // New returns a Forwarder.
-func New(p Params, dir *directory.Directory, s serving.Sender, placer Placer, b *balance.Balancer, budget *Budget, guard Guard, a Access, intake ServerLimiter, counts *Counts, log logrus.FieldLogger) *Forwarder {
+func New(p Params, dir *directory.Directory, s serving.Sender, placer Placer, b *balance.Balancer, budget *Budget, guard Guard, a Access, limiter ServerLimiter, counts *Counts, log logrus.FieldLogger) *Forwarder {
 	return &Forwarder{
-		params: p, dir: dir, sender: s, placer: placer, balancer: b, budget: budget, guard: guard, access: a, intake: intake, counts: counts, log: log,
+		params: p, dir: dir, sender: s, placer: placer, balancer: b, budget: budget, guard: guard, access: a, limiter: limiter, counts: counts, log: log,
 		leaving: make(chan struct{}),
 	}
 }
--- a/command/forward/forward_test.go
+++ b/command/forward/forward_test.go
@@ -93,7 +93,7 @@
 	servers   *fakeServers
 	placer    *fakePlacer
 	guard     *fakeGuard
-	intake    *fakeIntake
+	limiter   *fakeServerLimiter
 	access    *fakeAccess
 	dir       *directory.Directory
 	forwarder *Forwarder
@@ -130,9 +130,9 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := &fixture{servers: &fakeServers{replies: replies}, placer: &fakePlacer{}, dir: dir, guard: &fakeGuard{}, intake: &fakeIntake{}, access: &fakeAccess{dir: dir}}
+	f := &fixture{servers: &fakeServers{replies: replies}, placer: &fakePlacer{}, dir: dir, guard: &fakeGuard{}, limiter: &fakeServerLimiter{}, access: &fakeAccess{dir: dir}}
 	f.forwarder = New(DefaultParams("d"), dir, f.servers, f.placer, balance.New(balance.DefaultParams()),
-		newFilledBudget(BudgetParams{Ratio: 1, Extra: 100, Window: time.Minute}), f.guard, f.access, f.intake, NewCounts(metrics.NewSet()), log)
+		newFilledBudget(BudgetParams{Ratio: 1, Extra: 100, Window: time.Minute}), f.guard, f.access, f.limiter, NewCounts(metrics.NewSet()), log)
 	return f
 }
 
--- a/command/forward/guard.go
+++ b/command/forward/guard.go
@@ -30,16 +30,16 @@
 	StateOn(fp serving.Fingerprint, s serving.Server) quarantine.State
 	// Crashed reports whether a server is known to have crashed although it is still announced.
 	Crashed(s serving.Server) bool
-	// RequestTrial requests permission for a suspect to run alone on a server, for at most longest. Its
-	// errors are ErrTrialBusy and ErrNoHolder.
+	// RequestTrial requests permission for a suspect to run alone on a server, for at most longest.
+	// Its errors are ErrTrialBusy and ErrNoHolder.
 	RequestTrial(ctx context.Context, fp serving.Fingerprint, s serving.Server, longest time.Duration) (Trial, error)
 	// Implicated reports whether a server is known to have crashed under a request whose state is
 	// still clear.
 	Implicated(fp serving.Fingerprint) bool
 	// Consult exchanges the records of a request with the holder. Its error is ErrNoHolder.
 	Consult(ctx context.Context, fp serving.Fingerprint) error
-	// RecordBrokenAnswer records that an answer broke off, and starts a check of whether the server has
-	// crashed.
+	// RecordBrokenAnswer records that an answer broke off, and starts a check of whether the server
+	// has crashed.
 	RecordBrokenAnswer(b quarantine.BrokenAttempt) CrashCheck
 	// Inconclusive reports whether answers broke off on a server and it is not known whether it has
 	// crashed.
--- a/command/forward/guard_test.go
+++ b/command/forward/guard_test.go
@@ -15,7 +15,7 @@
 type fakeGuard struct {
 	// states are returned one after the other; the last one is repeated.
 	states []quarantine.State
-	// busy is how many times a trial is refused, and err the error of later calls of Try.
+	// busy is how many times a trial is refused, and err the error of later calls of RequestTrial.
 	busy  int
 	err   error
 	ended map[string]bool
--- a/command/forward/route_test.go
+++ b/command/forward/route_test.go
@@ -39,18 +39,18 @@
 // which clients do not retry, for a service that is in a newer configuration that the instance has
 // not received yet.
 func TestNoRouteWithOutdatedConfiguration(t *testing.T) {
-	const inForce = 2 * time.Second
+	const propagationBound = 2 * time.Second
 	tests := map[string]struct {
 		known     access.Freshness
 		policy    access.Policy
 		permanent bool
 	}{
-		"current":                       {access.Freshness{Age: time.Second}, access.Policy{PropagationBound: inForce}, true},
-		"older than one may take":       {access.Freshness{Age: inForce}, access.Policy{PropagationBound: inForce}, false},
-		"a newer one was heard of":      {access.Freshness{NewerExists: true}, access.Policy{PropagationBound: inForce}, false},
+		"current":                       {access.Freshness{Age: time.Second}, access.Policy{PropagationBound: propagationBound}, true},
+		"older than one may take":       {access.Freshness{Age: propagationBound}, access.Policy{PropagationBound: propagationBound}, false},
+		"a newer one was heard of":      {access.Freshness{NewerExists: true}, access.Policy{PropagationBound: propagationBound}, false},
 		"current, no bound":             {access.Freshness{Age: 2 * time.Second}, access.Policy{}, true},
 		"cut off, no bound":             {access.Freshness{Age: time.Minute}, access.Policy{}, false},
-		"nearly as old as one may take": {access.Freshness{Age: 1900 * time.Millisecond}, access.Policy{PropagationBound: inForce}, false},
+		"nearly as old as one may take": {access.Freshness{Age: 1900 * time.Millisecond}, access.Policy{PropagationBound: propagationBound}, false},
 	}
 	for name, test := range tests {
 		f := newFixture(t, reply{status: 200})
--- a/command/forward/intake.go
+++ b/command/forward/serverlimiter.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		_, asked := t.serverLimits.retryAt[s.ID]
-		switch isLimited, spareFrom := t.f.intake.Limited(s); {
+		switch isLimited, spareFrom := t.f.limiter.Limited(s); {
 		case !isLimited:
 			free = append(free, i)
 		case !asked && len(t.serverLimits.retryAt) >= maxLimitedServers:
@@ -94,7 +94,7 @@
 // notBefore returns the earliest time at which the request may be sent to the server, given the
 // server's Retry-After and the last answer to a request for permission.
 func (t *transaction) notBefore(s serving.Server) time.Time {
-	return latest(t.f.intake.RetryAfterUntil(s), t.serverLimits.retryAt[s.ID])
+	return latest(t.f.limiter.RetryAfterUntil(s), t.serverLimits.retryAt[s.ID])
 }
 
 // addUnavailable records that a server is unavailable until a given time.
@@ -108,14 +108,14 @@
 // admitByServer reports whether the request may be sent to the server now. If not, it records when
 // permission may be requested again.
 func (t *transaction) admitByServer(ctx context.Context, server serving.Server) bool {
-	if t.f.intake.RetryAfterUntil(server).After(clock.Now()) {
+	if t.f.limiter.RetryAfterUntil(server).After(clock.Now()) {
 		return false // the Retry-After may have been set after the server was chosen
 	}
-	if limited, _ := t.f.intake.Limited(server); !limited {
+	if limited, _ := t.f.limiter.Limited(server); !limited {
 		return true
 	}
 	_, waited := t.serverLimits.retryAt[server.ID]
-	a := t.f.intake.Admit(ctx, server, quota.Turn{Spare: t.serverLimits.hasAlternative || deferrable(t.route), Waited: waited}, !t.serverLimits.hasAlternative)
+	a := t.f.limiter.Admit(ctx, server, quota.Turn{Spare: t.serverLimits.hasAlternative || deferrable(t.route), Waited: waited}, !t.serverLimits.hasAlternative)
 	if a.Granted {
 		t.serverLimits.refund = a.Refund
 		return true
--- a/command/forward/intake_test.go
+++ b/command/forward/serverlimiter_test.go
@@ -15,8 +15,8 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// fakeIntake returns preset limits of servers.
-type fakeIntake struct {
+// fakeServerLimiter returns preset limits of servers.
+type fakeServerLimiter struct {
 	// rests is until when each server must not be sent anything, and limits how many sends each one
 	// still accepts.
 	rests  map[string]time.Time
@@ -29,26 +29,26 @@
 	onAdmit func(s serving.Server)
 }
 
-func (i *fakeIntake) RetryAfterUntil(s serving.Server) time.Time { return i.rests[s.ID] }
+func (l *fakeServerLimiter) RetryAfterUntil(s serving.Server) time.Time { return l.rests[s.ID] }
 
-func (i *fakeIntake) Limited(s serving.Server) (bool, time.Time) {
-	_, limited := i.limits[s.ID]
+func (l *fakeServerLimiter) Limited(s serving.Server) (bool, time.Time) {
+	_, limited := l.limits[s.ID]
 	return limited, time.Time{}
 }
 
-func (i *fakeIntake) Admit(_ context.Context, s serving.Server, t quota.Turn, _ bool) Admission {
-	i.asked++
-	if i.onAdmit != nil {
-		i.onAdmit(s)
+func (l *fakeServerLimiter) Admit(_ context.Context, s serving.Server, t quota.Turn, _ bool) Admission {
+	l.asked++
+	if l.onAdmit != nil {
+		l.onAdmit(s)
 	}
 	if t.Spare {
-		i.spare++
+		l.spare++
 	}
-	if i.limits[s.ID] == 0 {
-		return Admission{RetryAfter: i.after}
+	if l.limits[s.ID] == 0 {
+		return Admission{RetryAfter: l.after}
 	}
-	i.limits[s.ID]--
-	return Admission{Granted: true, Refund: func() { i.returned++ }}
+	l.limits[s.ID]--
+	return Admission{Granted: true, Refund: func() { l.returned++ }}
 }
 
 // TestServerLimitRespected: a server with a limit receives only what it admits, the other requests
@@ -56,7 +56,7 @@
 // returned.
 func TestServerLimitRespected(t *testing.T) {
 	f := newFixture(t, reply{status: 200, body: "done"})
-	f.intake.limits, f.intake.after = map[string]int{"s1": 1}, time.Minute
+	f.limiter.limits, f.limiter.after = map[string]int{"s1": 1}, time.Minute
 	sends := map[string]int{}
 	for range 40 {
 		if w, failure := f.serve("unsafe", "", 0); failure != nil || w.Code != http.StatusOK {
@@ -66,13 +66,13 @@
 	for _, a := range f.servers.attempts {
 		sends[a.Server.ID]++
 	}
-	if sends["s1"] != 1 || f.intake.spare == 0 {
-		t.Errorf("%v sent, want one to s1; %d requests for spare capacity", sends, f.intake.spare)
+	if sends["s1"] != 1 || f.limiter.spare == 0 {
+		t.Errorf("%v sent, want one to s1; %d requests for spare capacity", sends, f.limiter.spare)
 	}
 	f = newFixture(t, reply{failure: notSent}, reply{status: 200, body: "done"})
-	f.intake.limits = map[string]int{"s1": 9, "s2": 9, "s3": 9}
-	if _, failure := f.serve("unsafe", "", 0); failure != nil || f.intake.returned != 1 {
-		t.Errorf("%v, %d permissions returned, want 1", failure, f.intake.returned)
+	f.limiter.limits = map[string]int{"s1": 9, "s2": 9, "s3": 9}
+	if _, failure := f.serve("unsafe", "", 0); failure != nil || f.limiter.returned != 1 {
+		t.Errorf("%v, %d permissions returned, want 1", failure, f.limiter.returned)
 	}
 }
 
@@ -85,7 +85,7 @@
 			f := newFixture(t, reply{status: 200, body: threeEvents, events: service.model != ""})
 			f.placer.err = ErrNoRoom
 			until := clock.Now().Add(3 * time.Second)
-			f.intake.rests = map[string]time.Time{"s1": until, "s2": until.Add(time.Second), "s3": until, "e1": until, "e2": until}
+			f.limiter.rests = map[string]time.Time{"s1": until, "s2": until.Add(time.Second), "s3": until, "e1": until, "e2": until}
 			start := time.Now()
 			_, failure := f.serve(service.route, service.model, 0)
 			if failure == nil || failure.Reason != verdict.ReasonHeldBack || failure.Verdict != verdict.NotRun || time.Since(start) > 0 {
@@ -107,9 +107,9 @@
 // permission is requested for it.
 func TestServerLeavesDuringAdmission(t *testing.T) {
 	f := newFixture(t, reply{status: 200, body: "done"})
-	f.intake.limits = map[string]int{"s1": 9, "s2": 9, "s3": 9}
+	f.limiter.limits = map[string]int{"s1": 9, "s2": 9, "s3": 9}
 	leaving := ""
-	f.intake.onAdmit = func(s serving.Server) {
+	f.limiter.onAdmit = func(s serving.Server) {
 		if leaving == "" {
 			leaving = s.ID
 			f.dir.MarkLeaving(directory.LeavingServer{ID: s.ID, Born: s.Born}, clock.Now())
@@ -118,8 +118,8 @@
 	if _, failure := f.serve("unsafe", "", 0); failure != nil {
 		t.Fatal(failure)
 	}
-	if sent := f.servers.attempts[0].Server.ID; sent == leaving || f.intake.returned != 1 {
-		t.Errorf("sent to %s, which is leaving; %d permissions returned, want 1", sent, f.intake.returned)
+	if sent := f.servers.attempts[0].Server.ID; sent == leaving || f.limiter.returned != 1 {
+		t.Errorf("sent to %s, which is leaving; %d permissions returned, want 1", sent, f.limiter.returned)
 	}
 }
 
@@ -127,7 +127,7 @@
 // others have set a Retry-After; the request is refused after one send.
 func TestRetryAfterDuringRequest(t *testing.T) {
 	f := newFixture(t, reply{status: 503, notRun: true}, reply{status: 200, body: "done"})
-	f.intake.rests = map[string]time.Time{"s2": clock.Now().Add(time.Minute), "s3": clock.Now().Add(time.Minute)}
+	f.limiter.rests = map[string]time.Time{"s2": clock.Now().Add(time.Minute), "s3": clock.Now().Add(time.Minute)}
 	_, failure := f.serve("unsafe", "", 0)
 	if failure == nil || failure.Verdict != verdict.NotRun || len(f.servers.attempts) != 1 {
 		t.Errorf("%v, %d sends, want one and a refusal", failure, len(f.servers.attempts))
@@ -139,12 +139,12 @@
 // do not fail.
 func TestRetryAfterNotCountedAsFailure(t *testing.T) {
 	f := newFixture(t, reply{status: 200, body: "done"})
-	f.intake.rests = map[string]time.Time{"s2": clock.Now().Add(time.Minute), "s3": clock.Now().Add(time.Minute)}
+	f.limiter.rests = map[string]time.Time{"s2": clock.Now().Add(time.Minute), "s3": clock.Now().Add(time.Minute)}
 	f.servers.replies = []reply{{status: 503, notRun: true, rests: true}}
 	for range 10 {
 		f.serve("unsafe", "", 0)
 	}
-	f.intake.rests = nil
+	f.limiter.rests = nil
 	f.servers.attempts, f.servers.replies = nil, []reply{{status: 200, body: "done"}}
 	sends := map[string]int{}
 	for range 90 {
@@ -162,14 +162,14 @@
 // some of them for permission and is then refused.
 func TestLimitedServersAskedBounded(t *testing.T) {
 	f := newFixture(t, reply{status: 200, body: "done"})
-	f.intake.limits, f.intake.after = map[string]int{"s1": 0, "s2": 0, "s3": 0}, time.Minute
+	f.limiter.limits, f.limiter.after = map[string]int{"s1": 0, "s2": 0, "s3": 0}, time.Minute
 	for n := range 100 {
 		id := fmt.Sprintf("more-%d", n)
 		f.dir.ApplyServer(serving.Server{ID: id, Service: "plain", Revision: 1}, time.Now())
-		f.intake.limits[id] = 0
+		f.limiter.limits[id] = 0
 	}
 	_, failure := f.serve("unsafe", "", 0)
-	if failure == nil || failure.Reason != verdict.ReasonHeldBack || f.intake.asked != maxLimitedServers {
-		t.Errorf("%v after %d requests for permission, want a refusal after %d", failure, f.intake.asked, maxLimitedServers)
+	if failure == nil || failure.Reason != verdict.ReasonHeldBack || f.limiter.asked != maxLimitedServers {
+		t.Errorf("%v after %d requests for permission, want a refusal after %d", failure, f.limiter.asked, maxLimitedServers)
 	}
 }
--- a/command/holder/exchange.go
+++ b/command/holder/exchange.go
@@ -124,7 +124,7 @@
 	Name string
 	// Domain is the failure domain in which the instance shares the budget of repeated sends.
 	Domain string
-	// Reaches is the number of the holder's store outage (News.Failing) during which the store has answered this
+	// Reaches is the number of the holder's store outage (Update.Failing) during which the store has answered this
 	// instance. It is 0 if there is none.
 	Reaches  uint64
 	Arrivals []Arrivals
--- a/command/holder/holder.go
+++ b/command/holder/holder.go
@@ -39,7 +39,7 @@
 	engines serving.Engines
 	dir     *directory.Directory
 	log     logrus.FieldLogger
-	counts  *Metrics
+	metrics *Metrics
 
 	mu    sync.Mutex
 	lease *lease.Lease    // guarded by mu
@@ -67,7 +67,7 @@
 	// finalRenewalRunning reports whether a renewal is in progress whose failure makes the holder give up the lease;
 	// guarded by mu.
 	finalRenewalRunning bool
-	// remoteConcurrency is the estimate of an earlier holder for RemoteAtOnce; guarded by mu.
+	// remoteConcurrency is the estimate of an earlier holder for Update.RemoteAtOnce; guarded by mu.
 	remoteConcurrency float64
 	// surrendered is the released record under which this instance has promised to send no more orders; guarded by
 	// mu.
@@ -88,16 +88,16 @@
 }
 
 // New returns a Holder that does not hold the lease.
-func New(p Params, s store.Store, engines serving.Engines, dir *directory.Directory, counts *Metrics, log logrus.FieldLogger) *Holder {
+func New(p Params, s store.Store, engines serving.Engines, dir *directory.Directory, metrics *Metrics, log logrus.FieldLogger) *Holder {
 	return &Holder{
-		params: p, store: s, engines: engines, dir: dir, log: log, counts: counts,
+		params: p, store: s, engines: engines, dir: dir, log: log, metrics: metrics,
 		lease: lease.New(p.Lease, p.Name), fleet: replicas.NewFleet(p.Fleet), lender: quota.NewLender(p.Quota, false, nil, clock.Now()), serverLender: quota.NewLender(p.ServerQuota, false, nil, clock.Now()), serverLimits: unlimited{}, reports: newInstanceReports(), workers: map[string]*worker{},
 		era: unknownEra, firstEra: unknownEra, ctx: context.Background(), replicaLimits: limits.None{}, outageStart: func() (none time.Time) { return },
 	}
 }
 
-// SetOutageSource sets the function that returns when this instance's store watches began to fail, or the zero time. It
-// must be called before Run.
+// SetOutageSource sets the function that returns when this instance's store watches began to fail, or the zero time.
+// It must be called before Run.
 func (h *Holder) SetOutageSource(outage func() time.Time) { h.outageStart = outage }
 
 // SetServerLimits sets the source of the limits that servers have announced. The holder lends those limits to
@@ -107,11 +107,12 @@
 // SetReplicaLimits sets the source of the numbers of replicas that operators allow. It must be called before Run.
 func (h *Holder) SetReplicaLimits(source limits.Source) { h.replicaLimits = source }
 
-// SetRemoteConcurrency records the holder's estimate of News.RemoteAtOnce for the case that this instance succeeds it.
-func (h *Holder) SetRemoteConcurrency(atOnce float64) {
+// SetRemoteConcurrency records the holder's estimate of Update.RemoteAtOnce for the case that this instance succeeds
+// it.
+func (h *Holder) SetRemoteConcurrency(concurrency float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.remoteConcurrency = atOnce
+	h.remoteConcurrency = concurrency
 }
 
 // Run does the periodic work while the lease is held, until ctx ends.
@@ -133,8 +134,8 @@
 	return h.lease.Held()
 }
 
-// PriorOperationsEnded reports whether this instance holds the lease and the operations that earlier holders started, which
-// renewals of the lease do not bound, have ended or are known.
+// PriorOperationsEnded reports whether this instance holds the lease and the operations that earlier holders started,
+// which renewals of the lease do not bound, have ended or are known.
 func (h *Holder) PriorOperationsEnded(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/command/holder/lease.go
+++ b/command/holder/lease.go
@@ -31,10 +31,10 @@
 }
 
 // ObserveRemote records what another instance reported about the lease.
-func (h *Holder) ObserveRemote(s lease.RenewalAge) {
+func (h *Holder) ObserveRemote(a lease.RenewalAge) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lease.ObserveRemote(s, clock.Exact())
+	h.lease.ObserveRemote(a, clock.Exact())
 }
 
 // RenewalAge returns what this instance reports about the lease to others.
@@ -80,7 +80,7 @@
 	h.workers = map[string]*worker{}
 	h.refreshServers()
 	h.mu.Unlock()
-	h.counts.takeOvers.Inc()
+	h.metrics.takeOvers.Inc()
 	h.log.WithFields(logrus.Fields{
 		"fence": candidate.Fence, "before": current.Holder, "cause": cause, "orders_in_ms": clock.Until(orderFrom).Milliseconds(),
 	}).Info("lease taken")
@@ -190,8 +190,8 @@
 	h.surrendered = record
 }
 
-// SurrenderedRecord returns the released record under which this instance has promised to send no more orders. It returns the
-// zero Record if there is none.
+// SurrenderedRecord returns the released record under which this instance has promised to send no more orders. It
+// returns the zero Record if there is none.
 func (h *Holder) SurrenderedRecord() lease.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -203,8 +203,8 @@
 	return h.params.Lease.Validity + h.params.Lease.Settle
 }
 
-// ObserveFence records that another instance has the given fencing token. The lease is lost if that token is higher than
-// this instance's.
+// ObserveFence records that another instance has the given fencing token. The lease is lost if that token is higher
+// than this instance's.
 func (h *Holder) ObserveFence(fence int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/command/holder/lend.go
+++ b/command/holder/lend.go
@@ -8,8 +8,8 @@
 
 // ServerLimits provides the request limits that servers have announced.
 type ServerLimits interface {
-	// LendableLimit returns the limit of a server that is lent to instances, for a while also after the limit has ended. ok is
-	// false if there is none.
+	// LendableLimit returns the limit of a server that is lent to instances, for a while also after the limit has
+	// ended. ok is false if there is none.
 	LendableLimit(server string) (limit serving.Limit, ok bool)
 	// Limited reports whether a server has a limit now. Any reports whether any server has one.
 	Limited(server string) bool
--- a/command/holder/counts.go
+++ b/command/holder/metrics.go
@@ -29,18 +29,18 @@
 	}
 }
 
-func (c *Metrics) countOrder(answer serving.OrderAnswer) {
-	c.set.GetOrCreateCounter(`martenport_orders_total{answer="` + answer.String() + `"}`).Inc()
+func (m *Metrics) countOrder(answer serving.OrderAnswer) {
+	m.set.GetOrCreateCounter(`martenport_orders_total{answer="` + answer.String() + `"}`).Inc()
 }
 
 // observeWeightStoreLoad records the error of the predicted duration of a load from the weight store.
-func (c *Metrics) observeWeightStoreLoad(predicted, actual time.Duration) {
+func (m *Metrics) observeWeightStoreLoad(predicted, actual time.Duration) {
 	if actual > 0 {
-		c.loadTimeError.Update(math.Abs((predicted - actual).Seconds()) / actual.Seconds())
+		m.loadTimeError.Update(math.Abs((predicted - actual).Seconds()) / actual.Seconds())
 	}
 }
 
-func (c *Metrics) observeOperation(op replicas.Operation, err error, duration time.Duration) {
+func (m *Metrics) observeOperation(op replicas.Operation, err error, duration time.Duration) {
 	kind, outcome := "model", "done"
 	if op.Load.Adapter != "" {
 		kind = "adapter"
@@ -48,6 +48,6 @@
 	if err != nil {
 		outcome = "failed"
 	}
-	c.operationSeconds.Update(duration.Seconds())
-	c.set.GetOrCreateCounter(`martenport_operations_total{kind="` + kind + `",outcome="` + outcome + `"}`).Inc()
+	m.operationSeconds.Update(duration.Seconds())
+	m.set.GetOrCreateCounter(`martenport_operations_total{kind="` + kind + `",outcome="` + outcome + `"}`).Inc()
 }
--- a/command/holder/order.go
+++ b/command/holder/order.go
@@ -136,7 +136,7 @@
 // recordAnswer counts an accepted order and records one whose response was lost. An engine that already had what was
 // ordered has not incremented its sequence number, except for an adapter that it unloaded at once.
 func (w *worker) recordAnswer(o serving.Order, answer serving.OrderAnswer, err error) {
-	w.h.counts.countOrder(answer)
+	w.h.metrics.countOrder(answer)
 	incremented := answer == serving.OrderAccepted || answer == serving.OrderHolds && o.Unload && o.Unit.Adapter != ""
 	w.h.mu.Lock()
 	switch {
--- a/command/holder/worker.go
+++ b/command/holder/worker.go
@@ -136,7 +136,7 @@
 	}
 	w.h.mu.Unlock()
 	w.h.dispatch(clock.Now())
-	w.h.counts.observeOperation(op, err, clock.Since(started))
+	w.h.metrics.observeOperation(op, err, clock.Since(started))
 	w.h.log.WithFields(logrus.Fields{
 		"engine": op.Engine, "load": op.Load.String(), "ms": clock.Since(started).Milliseconds(), "late_ms": clock.Since(op.Ready).Milliseconds(), "error": err,
 	}).Info("operation ended")
@@ -177,7 +177,7 @@
 	if op.Remote {
 		err := w.awaitRemote(op, now.Add(op.Duration))
 		if err == nil {
-			w.h.counts.observeWeightStoreLoad(op.Duration, clock.Since(now))
+			w.h.metrics.observeWeightStoreLoad(op.Duration, clock.Since(now))
 		}
 		return err
 	}
@@ -294,7 +294,7 @@
 	}
 	ctx, cancel := context.WithTimeout(w.ctx, w.h.params.Lease.Transit)
 	defer cancel()
-	w.h.counts.reports.Inc()
+	w.h.metrics.reports.Inc()
 	report, err := w.h.engines.Report(ctx, server)
 	if err == nil && !server.SameLife(report.Born) {
 		return report, errors.Wrap(errEngine, "report is from another process with the same engine id")
--- a/command/lease/era.go
+++ b/command/lease/era.go
@@ -8,8 +8,9 @@
 // every token of earlier eras.
 func FenceBase(era int64) int64 { return era << eraBits }
 
-// RestoredFromBackup reports whether the record, read in the given era of the store, was written in an earlier era. Such a
-// record was restored from a backup of the store, and other instances may have held the lease since it was written.
+// RestoredFromBackup reports whether the record, read in the given era of the store, was written in an earlier era.
+// Such a record was restored from a backup of the store, and other instances may have held the lease since it was
+// written.
 func (r Record) RestoredFromBackup(era int64) bool { return r.Era != era }
 
 // Vacant reports whether the record, read in the given era, shows that nobody holds the lease or does not show who
--- a/command/lease/observation.go
+++ b/command/lease/observation.go
@@ -24,8 +24,8 @@
 	return s.At.Before(other.At)
 }
 
-// RenewalAge is an observation sent to another instance, which has a different clock. Age is a lower bound of the time
-// between sending the renewal and sending this message.
+// RenewalAge is an observation sent to another instance, which has a different clock. Age is a lower bound of the
+// time between sending the renewal and sending this message.
 type RenewalAge struct {
 	Revision store.Revision
 	Age      time.Duration
@@ -39,8 +39,8 @@
 }
 
 // ObserveRemote records what another instance reported in a response that arrived at now.
-func (l *Lease) ObserveRemote(s RenewalAge, now time.Time) {
-	l.Observe(s.Revision, now.Add(-max(0, s.Age)))
+func (l *Lease) ObserveRemote(a RenewalAge, now time.Time) {
+	l.Observe(a.Revision, now.Add(-max(0, a.Age)))
 }
 
 // RenewalAge returns what to report to other instances at now. A holder knows when it last renewed the lease; other
--- a/command/quarantine/ledger.go
+++ b/command/quarantine/ledger.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// RecordAnswer records that the request was answered. The request is cleared, and crashes reported shortly
-// afterwards do not count against it. RecordAnswer returns the previous state, and whether any crash
-// counted against the request.
+// RecordAnswer records that the request was answered. The request is cleared, and crashes reported
+// shortly afterwards do not count against it. RecordAnswer returns the previous state, and whether any
+// crash counted against the request.
 func (l *Ledger) RecordAnswer(fp serving.Fingerprint, now time.Time) (before State, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +93,7 @@
 	return Record{}, false
 }
 
-// RecordsOf returns the request's record in the form that Take accepts; nil if there is none.
+// RecordsOf returns the request's record in the form that Merge accepts; nil if there is none.
 func (l *Ledger) RecordsOf(fp serving.Fingerprint, now time.Time) []Record {
 	if r, known := l.Record(fp, now); known {
 		return []Record{r}
@@ -120,8 +120,8 @@
 	return r != nil && len(r.Crashes) > 0 && r.State() == Clear
 }
 
-// StateOnVersion returns how the request is treated on servers with the given software version. A quarantined
-// request may run isolated on a version of which it has crashed no server.
+// StateOnVersion returns how the request is treated on servers with the given software version. A
+// quarantined request may run isolated on a version of which it has crashed no server.
 func (l *Ledger) StateOnVersion(fp serving.Fingerprint, version string) State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,11 +210,11 @@
 		l.dropAttributions(r, before)
 		return nil
 	}
-	raised := []Escalation{{Record: r.snapshot(now), NewState: r.State()}}
+	escalations := []Escalation{{Record: r.snapshot(now), NewState: r.State()}}
 	if r.State() == Quarantined {
 		l.attributeCrashes(r)
 	}
-	return raised
+	return escalations
 }
 
 // clearAttributed clears a request of the crashes that are attributed to another, quarantined request.
--- a/command/quarantine/ledger_test.go
+++ b/command/quarantine/ledger_test.go
@@ -33,12 +33,12 @@
 	l := NewLedger()
 	want := []State{Clear, Clear, Suspect, Suspect, Quarantined, Quarantined}
 	for i, n := range []int{1, 1, 2, 2, 3, 4} {
-		raised := recordCrash(l, "a", n)
+		escalations := recordCrash(l, "a", n)
 		if got := l.State("a"); got != want[i] {
 			t.Errorf("after crash %d: %s, want %s", i, got, want[i])
 		}
-		if escalates := i == 2 || i == 4; (len(raised) == 1) != escalates {
-			t.Errorf("after crash %d: unexpected escalations %v", i, raised)
+		if escalates := i == 2 || i == 4; (len(escalations) == 1) != escalates {
+			t.Errorf("after crash %d: unexpected escalations %v", i, escalations)
 		}
 	}
 }
--- a/command/quarantine/message.go
+++ b/command/quarantine/message.go
@@ -64,11 +64,12 @@
 	return m
 }
 
-// HandleMessage merges a message from another ledger. It returns the reply, and the escalations that follow.
+// HandleMessage merges a message from another ledger. It returns the reply, and the escalations that
+// follow.
 func (l *Ledger) HandleMessage(m Message, now time.Time) (Message, []Escalation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	raised := l.mergeRecords(m.Records, now)
+	escalations := l.mergeRecords(m.Records, now)
 	received := m.Heard
 	if m.HeardFrom != l.id {
 		received = l.assumedReceived(m)
@@ -80,7 +81,7 @@
 		sent[r.Fingerprint] = r
 	}
 	reply.Records = slices.DeleteFunc(reply.Records, func(r Record) bool { return r.same(sent[r.Fingerprint]) })
-	return reply, raised
+	return reply, escalations
 }
 
 // assumedReceived returns the revision up to which a ledger is assumed to have the changes if it has
@@ -102,13 +103,13 @@
 	maxResyncDoublings     = 8
 )
 
-// HandleReply merges the peer's reply to a message that was sent over the link, and updates the link. It
-// returns the escalations that follow.
+// HandleReply merges the peer's reply to a message that was sent over the link, and updates the link.
+// It returns the escalations that follow.
 func (l *Ledger) HandleReply(k *Link, message, reply Message, now time.Time) []Escalation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.revision
-	raised := l.mergeRecords(reply.Records, now)
+	escalations := l.mergeRecords(reply.Records, now)
 	if reply.From == k.peer {
 		k.received, k.sent = reply.Through, message.Through
 	} else {
@@ -127,7 +128,7 @@
 		k.mismatches, k.received, k.sent = 0, 0, 0
 		k.resyncs++
 	}
-	return raised
+	return escalations
 }
 
 // Merge merges records of other ledgers, and returns the escalations that follow.
@@ -139,13 +140,13 @@
 
 // mergeRecords merges records that have not exceeded their lifetime. l.mu must be held.
 func (l *Ledger) mergeRecords(records []Record, now time.Time) []Escalation {
-	var raised []Escalation
+	var escalations []Escalation
 	for _, r := range records {
 		if r.Age < r.lifetime() {
-			raised = append(raised, l.merge(r, now)...)
+			escalations = append(escalations, l.merge(r, now)...)
 		}
 	}
-	return raised
+	return escalations
 }
 
 // since implements Since. l.mu must be held.
--- a/command/quarantine/pending.go
+++ b/command/quarantine/pending.go
@@ -32,7 +32,7 @@
 	Age time.Duration
 }
 
-// pendingCrash is a PendingEnd as stored in a ledger. Every report of a crash is later than the crash
+// pendingCrash is a PendingCrash as stored in a ledger. Every report of a crash is later than the crash
 // itself, so the earliest of several times is kept.
 type pendingCrash struct {
 	incarnation Incarnation
@@ -129,7 +129,7 @@
 // DecidePending decides the pending crashes that are older than confirmationDelay: each counts as a
 // crash during an isolated run unless another suspect was running on the incarnation. It returns the
 // escalations that follow, and the requests against which a pending crash does not count.
-func (l *Ledger) DecidePending(now time.Time) (raised []Escalation, dropped []serving.Fingerprint) {
+func (l *Ledger) DecidePending(now time.Time) (escalations []Escalation, dropped []serving.Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for fp, r := range l.records {
@@ -140,10 +140,10 @@
 				continue
 			}
 			crashed := []Incarnation{crash.incarnation}
-			raised = append(raised, l.merge(Record{Fingerprint: fp, Crashes: crashed, Alone: crashed}, now)...)
+			escalations = append(escalations, l.merge(Record{Fingerprint: fp, Crashes: crashed, Alone: crashed}, now)...)
 		}
 	}
-	return raised, dropped
+	return escalations, dropped
 }
 
 // removeDecidable removes the pending crashes that are old enough to be decided, and returns them.
--- a/command/quarantine/simultaneous_test.go
+++ b/command/quarantine/simultaneous_test.go
@@ -25,9 +25,9 @@
 		if got := l.State("beside"); got != Clear {
 			t.Errorf("%d servers: %s after its answer, want clear", servers, got)
 		}
-		raised := l.RecordCrash(BrokenAttempt{Fingerprint: "culprit", Server: server(servers), Isolated: true}, start)
-		if len(raised) != 1 || raised[0].NewState != Quarantined {
-			t.Errorf("%d servers: escalations %v after a crash during an isolated run", servers, raised)
+		escalations := l.RecordCrash(BrokenAttempt{Fingerprint: "culprit", Server: server(servers), Isolated: true}, start)
+		if len(escalations) != 1 || escalations[0].NewState != Quarantined {
+			t.Errorf("%d servers: escalations %v after a crash during an isolated run", servers, escalations)
 		}
 		records, _ := l.Since(0, start)
 		other.Merge(records, start)
--- a/command/quota/lender.go
+++ b/command/quota/lender.go
@@ -75,7 +75,7 @@
 	// asked and refused are totals since this holder started.
 	asked, refused float64
 	// promisedUntil is the time until which the future gains are promised to waiting requests; see
-	// AskInTurn.
+	// GrantInTurn.
 	promisedUntil time.Time
 }
 
@@ -370,10 +370,10 @@
 // Reserves returns, by workspace, the amount reserved for queries, rounded down. It may be handed over to
 // the next holder if this one lends nothing more.
 func (l *Lender) Reserves(now time.Time) map[string]float64 {
-	left := map[string]float64{}
+	reserves := map[string]float64{}
 	for name, a := range l.accounts {
 		l.refill(a, now)
-		left[name] = math.Floor(a.reserve.level)
+		reserves[name] = math.Floor(a.reserve.level)
 	}
-	return left
+	return reserves
 }
--- a/command/quota/quota.go
+++ b/command/quota/quota.go
@@ -61,16 +61,16 @@
 	// maxTransit bounds the time for which an admitted amount may be in transit between the accounts of
 	// the holder and of an instance: the duration of one call.
 	maxTransit = 500 * time.Millisecond
-	// giveBackWindow is the time within which the cost of a request that did not run is given back.
+	// refundWindow is the time within which the cost of a request that did not run is refunded.
 	// Most refusals arrive within milliseconds.
-	giveBackWindow = 200 * time.Millisecond
+	refundWindow = 200 * time.Millisecond
 )
 
 // capacity returns K: the amount of a limit that may be saved up, over all instances.
 func (p Params) capacity(l serving.Limit) float64 {
 	window := p.Window.Seconds()
 	beyond := p.Overage*(l.Rate*window+l.Burst) + p.Slack
-	return l.Burst + max(0, beyond-l.Rate*(maxTransit+giveBackWindow).Seconds())
+	return l.Burst + max(0, beyond-l.Rate*(maxTransit+refundWindow).Seconds())
 }
 
 // Share is an instance's part of a limit: the rate per second, and the amount that may be saved up.
--- a/command/quota/shares.go
+++ b/command/quota/shares.go
@@ -69,10 +69,10 @@
 }
 
 // Refund returns the cost of a request that did not reach a server. It does nothing if the cost was
-// taken longer than giveBackWindow ago: the amount may have been gained again since, and would be
+// taken longer than refundWindow ago: the amount may have been gained again since, and would be
 // admitted twice in one window.
 func (s *Shares) Refund(workspace string, cost float64, taken, now time.Time) {
-	if now.Sub(taken) >= giveBackWindow {
+	if now.Sub(taken) >= refundWindow {
 		return
 	}
 	s.mu.Lock()
--- a/command/quota/turns.go
+++ b/command/quota/turns.go
@@ -23,9 +23,9 @@
 	maxTurnDelay = 10 * time.Second
 )
 
-// GrantInTurn answers a query for one send to a server, like Ask. Requests without an alternative server
-// are given different times at which to ask again, each the time at which the limit will suffice for
-// that request: if all asked again when the first can be granted, the others would be refused again.
+// GrantInTurn answers a query for one send to a server, like Grant. Requests without an alternative
+// server are given different times at which to ask again, each the time at which the limit will suffice
+// for that request: if all asked again when the first can be granted, the others would be refused again.
 // What is promised to them is not granted to requests that arrive in the meantime.
 func (l *Lender) GrantInTurn(server string, limit serving.Limit, t Turn, now time.Time) Answer {
 	a := l.account(server, limit, now)
--- a/command/replicas/demand.go
+++ b/command/replicas/demand.go
@@ -37,8 +37,8 @@
 // runningWindow is the time constant for smoothing the number of concurrent requests.
 const runningWindow = 2 * time.Second
 
-// SetRunning sets the number of running requests of all instances, by engine and unit. Units that are not in counts have
-// none.
+// SetRunning sets the number of running requests of all instances, by engine and unit. Units that are not in counts
+// have none.
 func (f *Fleet) SetRunning(counts map[string]map[serving.Unit]int, now time.Time) {
 	totals := map[string]int{}
 	for id, e := range f.engines {
--- a/command/replicas/inuse_test.go
+++ b/command/replicas/inuse_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestBeganUseCountsBeforeReports: a copy that an instance has announced to use is not evicted.
-func TestBeganUseCountsBeforeReports(t *testing.T) {
+// TestUseStartedCountsBeforeReports: a copy that an instance has announced to use is not evicted.
+func TestUseStartedCountsBeforeReports(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
 	f.SetReportAge(time.Second)
--- a/command/replicas/params.go
+++ b/command/replicas/params.go
@@ -27,8 +27,8 @@
 	AdapterTime time.Duration
 	// RemoteWindow is the window over which loads from the weight store are counted.
 	RemoteWindow time.Duration
-	// RemoteConcurrency is the number of concurrent loads from the weight store that are tried while its speed is unknown: a
-	// second load shows whether concurrent loads share the bandwidth.
+	// RemoteConcurrency is the number of concurrent loads from the weight store that are tried while its speed is
+	// unknown: a second load shows whether concurrent loads share the bandwidth.
 	RemoteConcurrency float64
 	// RemoteOverage times the weight store's rate over the window, plus RemoteExtra, is the maximum number of loads that
 	// may start within a window, across all lease holders.
--- a/command/replicas/unloadtimes.go
+++ b/command/replicas/unloadtimes.go
@@ -43,8 +43,8 @@
 // UnloadTime returns how long an engine is expected to take to unload a copy without requests.
 func (f *Fleet) UnloadTime() time.Duration { return f.unloadTimes.idle }
 
-// LoadAccepted records that an engine has accepted an operation's load, after it was refused the given number of times. began
-// is when the last unload of the operation was accepted, zero if there was none.
+// LoadAccepted records that an engine has accepted an operation's load, after it was refused the given number of times.
+// began is when the last unload of the operation was accepted, zero if there was none.
 func (f *Fleet) LoadAccepted(op Operation, began time.Time, refused int, now time.Time) {
 	if !began.IsZero() {
 		f.unloadTimes.observe(now.Sub(began), refused, op.InUse)
--- a/command/replicas/view.go
+++ b/command/replicas/view.go
@@ -78,7 +78,8 @@
 	return e != nil && e.Unsure && !now.Before(e.readableAt)
 }
 
-// UseStarted records that a request has started on a unit of an engine, which the instances' reports do not include yet.
+// UseStarted records that a request has started on a unit of an engine, which the instances' reports do not include
+// yet.
 func (f *Fleet) UseStarted(id string, unit serving.Unit, now time.Time) {
 	if e := f.engines[id]; e != nil && e.Copies[unit.Model] != nil {
 		c := e.Copies[unit.Model]
--- a/command/replicas/waiting.go
+++ b/command/replicas/waiting.go
@@ -139,8 +139,8 @@
 	w.waiting[waiting.Instance] = reportedWaiting{value: waiting.value(), at: now, until: now.Add(waiting.maxWait())}
 }
 
-// ReplaceWaiting sets all waiting requests of an instance, replacing its previous reports: no request waits there for models
-// that are not in models. Only models that are already wanted are updated.
+// ReplaceWaiting sets all waiting requests of an instance, replacing its previous reports: no request waits there for
+// models that are not in models. Only models that are already wanted are updated.
 func (f *Fleet) ReplaceWaiting(instance string, models map[string]Waiting, now time.Time) {
 	for model, w := range f.wantedModels {
 		waiting := models[model]
--- a/command/replicas/weightstore.go
+++ b/command/replicas/weightstore.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// StillLoading records that an operation's load from the weight store is not done at its expected time, and returns the new
-// expected time.
+// StillLoading records that an operation's load from the weight store is not done at its expected time, and returns the
+// new expected time.
 func (f *Fleet) StillLoading(op Operation, now time.Time) time.Time {
 	e := f.engines[op.Engine]
 	if e == nil || e.generation != op.generation || e.remoteStarted.IsZero() {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -48,8 +48,8 @@
 	// era is the store's era, known here since eraBegan; guarded by mu.
 	era      int64
 	eraBegan time.Time
-	// removalsKnownSince is the time from which this directory has followed the removal of servers, see Complete. It
-	// is zero before the first listing; guarded by mu.
+	// removalsKnownSince is the time from which this directory has followed the removal of servers, see
+	// RemovalsComplete. It is zero before the first listing; guarded by mu.
 	removalsKnownSince time.Time
 	// digest is the digest of the servers, see Digest; guarded by mu.
 	digest uint64
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -97,7 +97,7 @@
 			}
 		}
 		to.ApplyDelta(from.Since(seen, to.Revision()), start)
-		if revision.Era() > 0 && from.Digest() != to.Digest() { // then request a full delta after CopiedGrace
+		if revision.Era() > 0 && from.Digest() != to.Digest() { // then request a full delta after RestoreGrace
 			to.ApplyDelta(from.Since(0, AllServers), start.Add(RestoreGrace))
 		}
 		if from.Digest() != to.Digest() {
@@ -150,16 +150,16 @@
 		t.Fatal("directories that differ have the same digest")
 	}
 	delta = holder.Since(seen, AllServers)
-	gone := other.ApplyDelta(delta, start).Removed
+	removed := other.ApplyDelta(delta, start).Removed
 	if _, known := other.Server("x"); !known || delta.Digest != other.Digest() {
 		t.Errorf("after a full delta the server is known: %v", known)
 	}
-	if len(gone) != 1 || gone[0] != "gone" {
-		t.Errorf("servers removed by a full delta: %v", gone)
+	if len(removed) != 1 || removed[0] != "gone" {
+		t.Errorf("servers removed by a full delta: %v", removed)
 	}
 	other.ApplyServer(server("newer", 9, false), start)
-	if gone := other.ApplyDelta(holder.Since(0, AllServers), start).Removed; len(gone) != 0 {
-		t.Errorf("a server that is newer than the delta was removed: %v", gone)
+	if removed := other.ApplyDelta(holder.Since(0, AllServers), start).Removed; len(removed) != 0 {
+		t.Errorf("a server that is newer than the delta was removed: %v", removed)
 	}
 }
 
--- a/directory/era_test.go
+++ b/directory/era_test.go
@@ -22,7 +22,7 @@
 }
 
 // TestRestoredEntryOfRemovedServer: a backup of the store may contain the entry of a server that was removed. Such
-// an entry is ignored during CopiedGrace and applies after it. An entry of the earlier era that was written after
+// an entry is ignored during RestoreGrace and applies after it. An entry of the earlier era that was written after
 // the removal still applies.
 func TestRestoredEntryOfRemovedServer(t *testing.T) {
 	d := New()
@@ -41,6 +41,6 @@
 	d.RemoveServer("x", store.RevisionOf(0, 107), start)
 	d.ApplyServer(copied, start.Add(RestoreGrace))
 	if len(d.Servers("s")) != 1 {
-		t.Error("not offered although its entry still exists after CopiedGrace")
+		t.Error("not offered although its entry still exists after RestoreGrace")
 	}
 }
--- a/directory/leaving.go
+++ b/directory/leaving.go
@@ -36,8 +36,8 @@
 	return true
 }
 
-// LeavingServers returns the live servers that have announced in responses that they are leaving. Instances that cannot
-// reach the store learn of them only from other instances.
+// LeavingServers returns the live servers that have announced in responses that they are leaving. Instances that
+// cannot reach the store learn of them only from other instances.
 func (d *Directory) LeavingServers() []LeavingServer {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -39,7 +39,7 @@
 
 // Since returns the changes after the change that an earlier Delta named. If change is 0, it returns the servers
 // that are newer than revision, the store revision up to which the requester knows the servers, and all removals
-// that are remembered: removals of lapsed entries are found later than at their revision. With revision Everything
+// that are remembered: removals of lapsed entries are found later than at their revision. With revision AllServers
 // it returns all servers.
 func (d *Directory) Since(change uint64, revision store.Revision) Delta {
 	d.mu.RLock()
@@ -135,10 +135,10 @@
 // the store is unavailable. The platform allows about two seconds for them.
 const LapseGrace = 2200 * time.Millisecond
 
-// RemovalsComplete reports whether a server that is not in the directory is certainly removed. That is unknown to a process
-// that has just listed the servers for the first time: the store may have returned a moment before, and entries that
-// lapsed meanwhile may be written again within LapseGrace. It is also unknown to a process that has just removed
-// servers because another instance, perhaps one in that state, lacks them.
+// RemovalsComplete reports whether a server that is not in the directory is certainly removed. That is unknown to a
+// process that has just listed the servers for the first time: the store may have returned a moment before, and
+// entries that lapsed meanwhile may be written again within LapseGrace. It is also unknown to a process that has just
+// removed servers because another instance, perhaps one in that state, lacks them.
 func (d *Directory) RemovalsComplete(now time.Time) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/directory/views.go
+++ b/directory/views.go
@@ -82,9 +82,9 @@
 // holder.
 const missingUnitTTL = time.Second
 
-// ReportMissingUnit records the report of an engine that it does not have a unit. The engine is not offered for the unit until
-// the holder sends a new view of the engine: each request sent would be refused again and would use the budget of
-// repeated sends.
+// ReportMissingUnit records the report of an engine that it does not have a unit. The engine is not offered for the
+// unit until the holder sends a new view of the engine: each request sent would be refused again and would use the
+// budget of repeated sends.
 func (d *Directory) ReportMissingUnit(id string, unit serving.Unit, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/entry/access.go
+++ b/entry/access.go
@@ -46,10 +46,10 @@
 	return config == nil || !config.Guarded() || g.Policy().KeysTrusted(known.Age)
 }
 
-// trustCheckInterval is how often run checks, for the log, whether keys are trusted.
+// trustCheckInterval is how often run checks, for the log, whether keys are relied on.
 const trustCheckInterval = 200 * time.Millisecond
 
-// run logs when keys stop or start being trusted, until ctx ends.
+// run logs when keys stop or start being relied on, until ctx ends.
 func (g *accessControl) run(ctx context.Context) {
 	wasTrusted := true
 	for pause.For(ctx, trustCheckInterval) {
@@ -61,7 +61,7 @@
 		wasTrusted = trusted
 		log := g.log.WithFields(logrus.Fields{"config": config.Version, "config_age_ms": known.Age.Milliseconds(), "trusted_ms": g.Policy().MaxAge().Milliseconds(), "holder_answers": known.HolderReachable})
 		if wasTrusted {
-			log.Info("keys are trusted again")
+			log.Info("keys are relied on again")
 		} else {
 			log.Warn("keys are not relied on any more: requests that need one are refused")
 		}
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -165,19 +165,19 @@
 	if s, known := c.dir.Server(incarnation.Server); known && s.Draining && s.Born == incarnation.Born {
 		return // the end was planned
 	}
-	var raised []quarantine.Escalation
+	var escalations []quarantine.Escalation
 	for _, b := range failures {
 		if b.ClientGone && now.Sub(b.at) > cancelledRelevance {
 			continue
 		}
-		raised = append(raised, c.ledger.RecordCrash(b.BrokenAttempt, now)...)
+		escalations = append(escalations, c.ledger.RecordCrash(b.BrokenAttempt, now)...)
 		// Restarted instances decide by all ends recorded for held requests, so each further end is
 		// written to the store.
 		if c.ledger.State(b.Fingerprint) != quarantine.Clear {
 			c.quarantine.scheduleWrite(b.Fingerprint)
 		}
 	}
-	c.quarantine.recordChange(raised)
+	c.quarantine.recordChange(escalations)
 }
 
 // handleEntryRemoved records that a server's entry was removed from the store.
@@ -227,13 +227,13 @@
 // sweep decides pending ends of requests that ran alone, and drops expired failures, ends and
 // quarantine entries.
 func (c *crashDetector) sweep(now time.Time) {
-	raised, dropped := c.ledger.DecidePending(now)
+	escalations, dropped := c.ledger.DecidePending(now)
 	for _, fp := range dropped {
 		c.log.WithField("fingerprint", fp).Info("end under a run alone does not count, another suspect was there")
 	}
 	c.quarantine.scheduleWrite(dropped...)
-	if len(raised)+len(dropped) > 0 {
-		c.quarantine.recordChange(raised)
+	if len(escalations)+len(dropped) > 0 {
+		c.quarantine.recordChange(escalations)
 	}
 	for _, incarnation := range c.matchingIncarnations(func(w *incarnationWatch) bool { return now.Sub(w.lastChange) > failureRetention }) {
 		c.forget(incarnation)
--- a/entry/era.go
+++ b/entry/era.go
@@ -48,7 +48,7 @@
 
 // mustRelist reports whether the objects under a prefix, read by a call that began at started, have to
 // be listed again. Entries from before the restore count only if they are still there after
-// CopiedGrace.
+// RestoreGrace.
 func (w *watcher) mustRelist(prefix string, started time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/entry/era_test.go
+++ b/entry/era_test.go
@@ -92,7 +92,7 @@
 				}
 				s.await("all rely on a holder", 30*time.Second, s.settled)
 				if next := s.holder().Instance.holder; next.Fence() <= token || next.PriorOperationsEnded(time.Now()) {
-					t.Errorf("token %d after %d, settled at once: %t", next.Fence(), token, next.PriorOperationsEnded(time.Now()))
+					t.Errorf("token %d after %d, earlier operations ended at once: %t", next.Fence(), token, next.PriorOperationsEnded(time.Now()))
 				}
 				if last := s.lastToKnow("p1", s.drain, nil); last > s.site.drain {
 					t.Errorf("a leaving server is known after %s", last)
--- a/entry/follower.go
+++ b/entry/follower.go
@@ -112,14 +112,14 @@
 	domain string
 	// self handles this instance's calls to itself.
 	self *service
-	// ledger records the requests under which servers ended. onRaised is called with the requests that
-	// become suspect or quarantined because of the holder's updates; set before run.
+	// ledger records the requests under which servers ended. onEscalations is called with the requests
+	// that become suspect or quarantined because of the holder's updates; set before run.
 	ledger *quarantine.Ledger
 	// limiter has the limits of servers; set before run.
 	limiter *serverLimiter
 	// shares are the parts of workspaces' limits that are lent to this instance; set before run.
-	shares   *quota.Shares
-	onRaised func([]quarantine.Escalation)
+	shares        *quota.Shares
+	onEscalations func([]quarantine.Escalation)
 	// link is how much of each other's ledgers the holder and this instance have; guarded by mu.
 	link quarantine.Link
 }
@@ -147,7 +147,7 @@
 	return &follower{
 		name: name, holder: h, dir: dir, pool: pool, members: m, log: log,
 		arrivals: map[string]*holder.Arrivals{}, running: map[unitOnEngine]int{}, waiting: map[string]map[*waitingRequest]struct{}{}, cachedPlaces: map[forward.PlaceRequest]cachedPlace{}, instances: assumedInstances, minInterval: exchangeInterval,
-		reportRequested: make(chan struct{}, 1), ledger: quarantine.NewLedger(), shares: quota.NewShares(0), onRaised: func([]quarantine.Escalation) {},
+		reportRequested: make(chan struct{}, 1), ledger: quarantine.NewLedger(), shares: quota.NewShares(0), onEscalations: func([]quarantine.Escalation) {},
 	}
 }
 
--- a/entry/placer.go
+++ b/entry/placer.go
@@ -16,16 +16,16 @@
 )
 
 // RecordArrival implements forward.Placer.
-func (f *follower) RecordArrival(unit serving.Unit, urgency forward.Demand) {
+func (f *follower) RecordArrival(unit serving.Unit, demand forward.Demand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	a := f.arrivalsFor(unit.Model)
 	a.Count++
-	if urgency.Deferrable {
+	if demand.Deferrable {
 		a.Deferrable++
 	}
-	a.Weight += serving.Weight(urgency.Priority)
-	a.Late += serving.Weight(urgency.Priority) * urgency.LateProbability
+	a.Weight += serving.Weight(demand.Priority)
+	a.Late += serving.Weight(demand.Priority) * demand.LateProbability
 }
 
 // arrivalsFor returns the arrivals of requests for a model since the last report. f.mu must be held.
@@ -122,20 +122,20 @@
 const placeLifetime = 60 * time.Millisecond
 
 // RequestPlace implements forward.Placer.
-func (f *follower) RequestPlace(ctx context.Context, w forward.PlaceRequest) (forward.Place, error) {
+func (f *follower) RequestPlace(ctx context.Context, r forward.PlaceRequest) (forward.Place, error) {
 	now := clock.Now()
 	f.mu.Lock()
-	known, found := f.cachedPlaces[w]
+	known, found := f.cachedPlaces[r]
 	f.mu.Unlock()
 	if found && now.Sub(known.at) < placeLifetime {
 		return known.place, known.err
 	}
-	place, err := f.queryPlace(ctx, w)
+	place, err := f.queryPlace(ctx, r)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	maps.DeleteFunc(f.cachedPlaces, func(_ forward.PlaceRequest, p cachedPlace) bool { return now.Sub(p.at) >= placeLifetime })
 	if ctx.Err() == nil {
-		f.cachedPlaces[w] = cachedPlace{place: place, err: err, at: clock.Now()}
+		f.cachedPlaces[r] = cachedPlace{place: place, err: err, at: clock.Now()}
 	}
 	return place, err
 }
@@ -151,18 +151,18 @@
 }
 
 // queryPlace asks the holder where a unit is or will be loaded.
-func (f *follower) queryPlace(ctx context.Context, w forward.PlaceRequest) (forward.Place, error) {
+func (f *follower) queryPlace(ctx context.Context, r forward.PlaceRequest) (forward.Place, error) {
 	f.mu.Lock()
 	record, unanswered := f.record, clock.Since(f.lastAnswer)
-	waiting := f.waitingFor(w.Unit.Model, clock.Now())
+	waiting := f.waitingFor(r.Unit.Model, clock.Now())
 	f.mu.Unlock()
 	if unanswered > holderTimeout || record.Released {
 		return forward.Place{Ready: clock.Now().Add(f.expectedTakeover(record, unanswered)), Cause: serving.WaitHolder}, forward.ErrNoHolder
 	}
 	var reply WantReply
 	args := &WantArgs{holder.Request{
-		Service: w.Service, Unit: w.Unit, Waiting: waiting, Missing: w.Missing, Unreachable: w.Unreachable,
-		HeldBack: f.limiter.heldBack(w.Service, w.Unit, clock.Now()),
+		Service: r.Service, Unit: r.Unit, Waiting: waiting, Missing: r.Missing, Unreachable: r.Unreachable,
+		HeldBack: f.limiter.heldBack(r.Service, r.Unit, clock.Now()),
 	}}
 	if err := f.call(ctx, record, callTimeout, methodWant, args, &reply); err != nil {
 		return forward.Place{Ready: clock.Now().Add(exchangeRetry), Cause: serving.WaitHolder}, errors.Wrap(forward.ErrNoHolder, err.Error())
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -54,8 +54,8 @@
 	return g.quarantine.loaded.Load() || clock.Since(g.quarantine.started) > loadGrace
 }
 
-// RequestTrial implements forward.Guard. Only the holder lets a suspect request run; while there is no holder,
-// none runs.
+// RequestTrial implements forward.Guard. Only the holder lets a suspect request run; while there is no
+// holder, none runs.
 func (g *crashGuard) RequestTrial(ctx context.Context, fp serving.Fingerprint, s serving.Server, maxRun time.Duration) (forward.Trial, error) {
 	trial := quarantine.Trial{Fingerprint: fp, Server: s.ID, Instance: g.follower.name}
 	granted, err := g.follower.requestTrial(ctx, trial, s.Version, maxRun)
--- a/entry/quarantine_manager.go
+++ b/entry/quarantine_manager.go
@@ -76,19 +76,19 @@
 // recordChange handles an end that this instance has detected, and the requests that became suspect or
 // quarantined because of it. It schedules writing them to the store, and reports them to the holder at
 // once.
-func (q *quarantineManager) recordChange(raised []quarantine.Escalation) {
-	q.recordRaised(raised, "seen here")
-	q.scheduleRaised(raised)
+func (q *quarantineManager) recordChange(escalations []quarantine.Escalation) {
+	q.recordEscalations(escalations, "seen here")
+	q.scheduleEscalations(escalations)
 	q.follower.triggerReport()
 	pause.Wake(q.syncRequested)
 }
 
 // answerMessage merges another instance's message, and returns the message to answer it with.
 func (q *quarantineManager) answerMessage(m quarantine.Message, now time.Time) quarantine.Message {
-	answer, raised := q.ledger.HandleMessage(m, now)
-	if len(raised) > 0 { // no single instance has observed all ends that count here
-		q.recordRaised(raised, "put together")
-		q.scheduleRaised(raised)
+	answer, escalations := q.ledger.HandleMessage(m, now)
+	if len(escalations) > 0 { // no single instance has observed all ends that count here
+		q.recordEscalations(escalations, "put together")
+		q.scheduleEscalations(escalations)
 		pause.Wake(q.syncRequested)
 	}
 	return answer
@@ -100,20 +100,20 @@
 }
 
 // recordReceived records which requests became held because of another instance's records.
-func (q *quarantineManager) recordReceived(raised []quarantine.Escalation) {
-	q.recordRaised(raised, "heard")
+func (q *quarantineManager) recordReceived(escalations []quarantine.Escalation) {
+	q.recordEscalations(escalations, "heard")
 }
 
-// recordRaised logs which requests became held, and makes the holder notify all other instances.
-func (q *quarantineManager) recordRaised(raised []quarantine.Escalation, source string) {
-	for _, r := range raised {
+// recordEscalations logs which requests became held, and makes the holder notify all other instances.
+func (q *quarantineManager) recordEscalations(escalations []quarantine.Escalation, source string) {
+	for _, r := range escalations {
 		q.log.WithFields(logrus.Fields{
 			"fingerprint": r.Fingerprint, "subject": r.Subject, "state": r.NewState, "servers": r.Crashes, "source": source,
 		}).Warn("servers ended while the request ran there")
 		q.set.GetOrCreateCounter(`martenport_requests_held_total{state="` + r.NewState.String() + `"}`).Inc()
 	}
-	if len(raised) > 0 && q.isHolder() {
-		q.scheduleUrgent(raised)
+	if len(escalations) > 0 && q.isHolder() {
+		q.scheduleUrgent(escalations)
 	}
 }
 
@@ -133,8 +133,8 @@
 	}
 }
 
-func (q *quarantineManager) scheduleRaised(raised []quarantine.Escalation) {
-	for _, r := range raised {
+func (q *quarantineManager) scheduleEscalations(escalations []quarantine.Escalation) {
+	for _, r := range escalations {
 		q.scheduleWrite(r.Fingerprint)
 	}
 }
--- a/entry/quarantine_store.go
+++ b/entry/quarantine_store.go
@@ -82,7 +82,7 @@
 		}
 		records = append(records, h.decode(serving.Fingerprint(obj.Key[len(prefixQuarantine):]), now))
 	}
-	q.recordRaised(q.ledger.Merge(records, clock.Now()), "store")
+	q.recordEscalations(q.ledger.Merge(records, clock.Now()), "store")
 	q.loaded.Store(true)
 	return true
 }
@@ -116,7 +116,7 @@
 		return err
 	}
 	if version != 0 {
-		q.recordRaised(q.ledger.Merge([]quarantine.Record{stored.decode(fp, now)}, clock.Now()), "store")
+		q.recordEscalations(q.ledger.Merge([]quarantine.Record{stored.decode(fp, now)}, clock.Now()), "store")
 	}
 	r, known := q.ledger.Record(fp, clock.Now())
 	if !known || r.State() == quarantine.Clear {
--- a/entry/quarantine_urgent.go
+++ b/entry/quarantine_urgent.go
@@ -18,9 +18,9 @@
 const minUrgentInterval = 100 * time.Millisecond
 
 // scheduleUrgent schedules notifying all other instances of requests.
-func (q *quarantineManager) scheduleUrgent(raised []quarantine.Escalation) {
+func (q *quarantineManager) scheduleUrgent(escalations []quarantine.Escalation) {
 	q.mu.Lock()
-	for _, r := range raised {
+	for _, r := range escalations {
 		q.urgent[r.Fingerprint] = true
 	}
 	q.mu.Unlock()
--- a/entry/serverlimiter.go
+++ b/entry/serverlimiter.go
@@ -20,7 +20,7 @@
 
 // serverLimiter limits the requests sent to backend servers that limit their load. It knows the limits
 // that servers state in their answers, and those that other instances report. It implements
-// forward.Intake.
+// forward.ServerLimiter.
 type serverLimiter struct {
 	ledger *backpressure.Ledger
 	// shares are the parts of the limits that the holder has lent. uncoordinated limits what the
@@ -131,12 +131,12 @@
 	}
 }
 
-// RetryAfterUntil implements forward.Intake.
+// RetryAfterUntil implements forward.ServerLimiter.
 func (i *serverLimiter) RetryAfterUntil(s serving.Server) time.Time {
 	return i.ledger.RetryAfterUntil(s)
 }
 
-// Limited implements forward.Intake.
+// Limited implements forward.ServerLimiter.
 func (i *serverLimiter) Limited(s serving.Server) (limited bool, spareFrom time.Time) {
 	if _, limited = i.ledger.Limit(s); !limited {
 		return false, time.Time{}
@@ -146,7 +146,7 @@
 	return true, i.spareFrom[s.ID]
 }
 
-// Admit implements forward.Intake.
+// Admit implements forward.ServerLimiter.
 func (i *serverLimiter) Admit(ctx context.Context, s serving.Server, t quota.Turn, only bool) forward.Admission {
 	rate, limited := i.ledger.Limit(s)
 	if !limited {
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -26,7 +26,7 @@
 		go f.endTrial(t, false) // the trial may have been granted, and no other runs until it ends
 		return false, errors.Wrap(forward.ErrNoHolder, err.Error())
 	}
-	f.onRaised(f.ledger.Merge(reply.Known, clock.Now()))
+	f.onEscalations(f.ledger.Merge(reply.Known, clock.Now()))
 	if !reply.Held {
 		return false, forward.ErrNoHolder
 	}
@@ -48,7 +48,7 @@
 	if err := f.call(ctx, record, consultTimeout, methodConsult, args, &reply); err != nil {
 		return errors.Wrap(forward.ErrNoHolder, err.Error())
 	}
-	f.onRaised(f.ledger.Merge(reply.Known, clock.Now()))
+	f.onEscalations(f.ledger.Merge(reply.Known, clock.Now()))
 	f.log.WithFields(logrus.Fields{"fingerprint": fp, "holder": record.Holder, "state": f.ledger.State(fp)}).Info("holder asked before a request is sent under which a server ended")
 	return nil
 }
@@ -67,7 +67,7 @@
 	f.mu.Lock()
 	link := f.link
 	f.mu.Unlock()
-	f.onRaised(f.ledger.HandleReply(&link, sent, answer, now))
+	f.onEscalations(f.ledger.HandleReply(&link, sent, answer, now))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.link = link
