--- a/command/holder/lend.go
+++ b/command/holder/lend.go
@@ -8,9 +8,9 @@
 
 // ServerLimits provides the request limits that servers have announced.
 type ServerLimits interface {
-	// Lent returns the limit of a server that is lent to instances, for a while also after the limit has ended. ok is
-	// false if there is none.
-	Lent(server string) (limit serving.Limit, ok bool)
+	// LendableLimit returns the limit of a server that is lent to instances, for a while also after the limit has
+	// ended. ok is false if there is none.
+	LendableLimit(server string) (limit serving.Limit, ok bool)
 	// Limited reports whether a server has a limit now. Any reports whether any server has one.
 	Limited(server string) bool
 	Any() bool
@@ -19,9 +19,9 @@
 // unlimited is the ServerLimits of servers without limits.
 type unlimited struct{}
 
-func (unlimited) Lent(string) (serving.Limit, bool) { return serving.Limit{}, false }
-func (unlimited) Limited(string) bool               { return false }
-func (unlimited) Any() bool                         { return false }
+func (unlimited) LendableLimit(string) (serving.Limit, bool) { return serving.Limit{}, false }
+func (unlimited) Limited(string) bool                        { return false }
+func (unlimited) Any() bool                                  { return false }
 
 // Uses is the usage of limits that an instance reports, of workspaces and of servers (by server id).
 type Uses struct{ Workspaces, Servers []quota.Use }
@@ -40,12 +40,12 @@
 		return loans, false
 	}
 	if !h.lease.MayLend(now) {
-		h.lender.Heard(instance, uses.Workspaces, h.limitOf, now)
-		h.serverLender.Heard(instance, uses.Servers, h.serverLimits.Lent, now)
+		h.lender.RecordReport(instance, uses.Workspaces, h.limitOf, now)
+		h.serverLender.RecordReport(instance, uses.Servers, h.serverLimits.LendableLimit, now)
 		return loans, false
 	}
 	loans.Workspaces = h.lender.Lend(instance, uses.Workspaces, h.limitOf, now)
-	loans.Servers = h.serverLender.Lend(instance, uses.Servers, h.serverLimits.Lent, now)
+	loans.Servers = h.serverLender.Lend(instance, uses.Servers, h.serverLimits.LendableLimit, now)
 	return loans, true
 }
 
@@ -59,11 +59,11 @@
 	if !h.lease.MayLend(now) {
 		return quota.Answer{}
 	}
-	limit, ok := h.serverLimits.Lent(server)
+	limit, ok := h.serverLimits.LendableLimit(server)
 	if !ok || !h.serverLimits.Limited(server) {
 		return quota.Answer{Granted: true, Known: true} // a newer response shows that the limit has ended
 	}
-	return h.serverLender.AskInTurn(server, limit, turn, now)
+	return h.serverLender.GrantInTurn(server, limit, turn, now)
 }
 
 // Draw decides whether a request may run when its instance has used up what it was lent of the workspace's limit.
@@ -76,15 +76,15 @@
 	if !known || !h.lease.MayLend(now) {
 		return quota.Answer{}
 	}
-	return h.lender.Ask(workspace, cost, limit, now)
+	return h.lender.Grant(workspace, cost, limit, now)
 }
 
 // ExpectInstances names the instances that may still have shares from an earlier holder.
 func (h *Holder) ExpectInstances(names []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lender.Expect(names)
-	h.serverLender.Expect(names)
+	h.lender.ExpectReports(names)
+	h.serverLender.ExpectReports(names)
 }
 
 // Limits returns the holder's totals of the limits of workspaces. held is false at instances that do not hold the
--- a/command/holder/worker.go
+++ b/command/holder/worker.go
@@ -136,7 +136,7 @@
 	}
 	w.h.mu.Unlock()
 	w.h.dispatch(clock.Now())
-	w.h.counts.observeOperation(op, err, clock.Since(started))
+	w.h.metrics.observeOperation(op, err, clock.Since(started))
 	w.h.log.WithFields(logrus.Fields{
 		"engine": op.Engine, "load": op.Load.String(), "ms": clock.Since(started).Milliseconds(), "late_ms": clock.Since(op.Ready).Milliseconds(), "error": err,
 	}).Info("operation ended")
@@ -172,12 +172,12 @@
 	}
 	now := clock.Now()
 	w.h.mu.Lock()
-	w.h.fleet.Began(op, unloaded, refused, now)
+	w.h.fleet.LoadAccepted(op, unloaded, refused, now)
 	w.h.mu.Unlock()
 	if op.Remote {
 		err := w.awaitRemote(op, now.Add(op.Duration))
 		if err == nil {
-			w.h.counts.observeWeightStoreLoad(op.Duration, clock.Since(now))
+			w.h.metrics.observeWeightStoreLoad(op.Duration, clock.Since(now))
 		}
 		return err
 	}
@@ -242,7 +242,7 @@
 			return errors.Wrapf(errEngine, "engine is idle and has not loaded %s", op.Load)
 		}
 		w.h.mu.Lock()
-		ready = w.h.fleet.Lasts(op, clock.Now())
+		ready = w.h.fleet.StillLoading(op, clock.Now())
 		w.h.mu.Unlock()
 	}
 	return errors.Wrapf(errEngine, "%s not loaded before the deadline %s", op.Load, deadline)
@@ -276,7 +276,7 @@
 		}
 		w.h.mu.Lock()
 		if err == nil {
-			w.h.fleet.BusyElsewhere(w.engine, clock.Now())
+			w.h.fleet.BusyWithInheritedOrder(w.engine, clock.Now())
 		} else { // its models are not known, so requests are sent elsewhere
 			w.h.fleet.Unreachable(w.engine, clock.Now())
 		}
@@ -294,7 +294,7 @@
 	}
 	ctx, cancel := context.WithTimeout(w.ctx, w.h.params.Lease.Transit)
 	defer cancel()
-	w.h.counts.reports.Inc()
+	w.h.metrics.reports.Inc()
 	report, err := w.h.engines.Report(ctx, server)
 	if err == nil && !server.SameLife(report.Born) {
 		return report, errors.Wrap(errEngine, "report is from another process with the same engine id")
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -48,8 +48,8 @@
 	// era is the store's era, known here since eraBegan; guarded by mu.
 	era      int64
 	eraBegan time.Time
-	// removalsKnownSince is the time from which this directory has followed the removal of servers, see Complete. It
-	// is zero before the first listing; guarded by mu.
+	// removalsKnownSince is the time from which this directory has followed the removal of servers, see
+	// RemovalsComplete. It is zero before the first listing; guarded by mu.
 	removalsKnownSince time.Time
 	// digest is the digest of the servers, see Digest; guarded by mu.
 	digest uint64
@@ -175,8 +175,8 @@
 	return found
 }
 
-// Drained reports whether a server was seen draining, also after it has been removed.
-func (d *Directory) Drained(id string) bool {
+// SeenDraining reports whether a server was seen draining, also after it has been removed.
+func (d *Directory) SeenDraining(id string) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	_, drained := d.draining[id]
--- a/entry/access.go
+++ b/entry/access.go
@@ -42,14 +42,14 @@
 
 // keysTrusted reports whether requests that need a key are served. It is true if the configuration
 // requires no keys.
-func (g *accessControl) keysTrusted(config *serving.Config, known access.Knowledge) bool {
-	return config == nil || !config.Guarded() || g.Policy().Trusts(known.Age)
+func (g *accessControl) keysTrusted(config *serving.Config, known access.Freshness) bool {
+	return config == nil || !config.Guarded() || g.Policy().KeysTrusted(known.Age)
 }
 
-// trustCheckInterval is how often run checks, for the log, whether keys are trusted.
+// trustCheckInterval is how often run checks, for the log, whether keys are relied on.
 const trustCheckInterval = 200 * time.Millisecond
 
-// run logs when keys stop or start being trusted, until ctx ends.
+// run logs when keys stop or start being relied on, until ctx ends.
 func (g *accessControl) run(ctx context.Context) {
 	wasTrusted := true
 	for pause.For(ctx, trustCheckInterval) {
@@ -59,9 +59,9 @@
 			continue
 		}
 		wasTrusted = trusted
-		log := g.log.WithFields(logrus.Fields{"config": config.Version, "config_age_ms": known.Age.Milliseconds(), "trusted_ms": g.Policy().Trusted().Milliseconds(), "holder_answers": known.Reached})
+		log := g.log.WithFields(logrus.Fields{"config": config.Version, "config_age_ms": known.Age.Milliseconds(), "trusted_ms": g.Policy().MaxAge().Milliseconds(), "holder_answers": known.HolderReachable})
 		if wasTrusted {
-			log.Info("keys are trusted again")
+			log.Info("keys are relied on again")
 		} else {
 			log.Warn("keys are not relied on any more: requests that need one are refused")
 		}
@@ -69,16 +69,16 @@
 }
 
 // Current implements forward.Access.
-func (g *accessControl) Current() (*serving.Config, access.Knowledge) {
+func (g *accessControl) Current() (*serving.Config, access.Freshness) {
 	now := clock.Exact()
 	config, confirmedAt := g.dir.Current()
-	return config, access.Knowledge{Age: now.Sub(confirmedAt), Newer: g.watcher.newerConfigKnown(), Reached: g.holderResponds(now)}
+	return config, access.Freshness{Age: now.Sub(confirmedAt), NewerExists: g.watcher.newerConfigKnown(), HolderReachable: g.holderResponds(now)}
 }
 
 // Policy implements forward.Access.
 func (g *accessControl) Policy() access.Policy {
 	s := g.settings()
-	return access.Policy{FailClosed: s.Bounds.RevokeFailClosed, Bound: s.RevokeBound(), InForce: s.ConfigurationBound()}
+	return access.Policy{FailClosed: s.Bounds.RevokeFailClosed, Bound: s.RevokeBound(), PropagationBound: s.ConfigurationBound()}
 }
 
 // holderResponds reports whether the holder has answered within holderTimeout.
@@ -106,7 +106,7 @@
 		return func() {}, nil
 	}
 	now := clock.Exact()
-	release = func() { g.shares.GiveBack(w.Name, cost, now, clock.Exact()) }
+	release = func() { g.shares.Refund(w.Name, cost, now, clock.Exact()) }
 	if g.shares.Take(w.Name, cost, now) {
 		return release, nil
 	}
@@ -136,7 +136,7 @@
 // overLimit returns the refusal of a request that exceeds its workspace's limit. after is the time
 // until the request would be within the limit, 0 if it never will be.
 func (g *accessControl) overLimit(w *serving.Workspace, cost float64, after time.Duration) *verdict.Failure {
-	g.shares.Refused(w.Name, cost, clock.Now())
+	g.shares.RecordRefusal(w.Name, cost, clock.Now())
 	failure := verdict.Refuse(verdict.ReasonOverLimit, "workspace %s asks for more than its limit", w.Name)
 	if after <= 0 {
 		return failure
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -66,8 +66,8 @@
 	maxFailures = 1024
 )
 
-// RecordFailure implements forward.Guard.
-func (c *crashDetector) RecordFailure(b quarantine.BrokenAttempt) forward.CrashCheck {
+// RecordBrokenAnswer implements forward.Guard.
+func (c *crashDetector) RecordBrokenAnswer(b quarantine.BrokenAttempt) forward.CrashCheck {
 	now := clock.Now()
 	incarnation := quarantine.IncarnationOf(b.Server)
 	if s, known := c.dir.Server(incarnation.Server); !known || s.Draining || s.Born != incarnation.Born {
@@ -92,16 +92,16 @@
 	switch {
 	case w.check != nil:
 		w.check.requestProbe()
-	case !b.Left:
+	case !b.ClientGone:
 		w.check = newCrashCheck()
 		go c.check(incarnation, w.server, w.lastSeen.Add(probeSpacing), w.check)
 	}
 	if w.check == nil {
 		return completedCheck
 	}
-	check := forward.CrashCheck{FirstLook: w.check.probed, Done: w.check.done}
+	check := forward.CrashCheck{FirstProbe: w.check.probed, Done: w.check.done}
 	if now.Sub(w.lastSeen) < probeSpacing {
-		check.FirstLook = closedChannel // the next probe is not immediate
+		check.FirstProbe = closedChannel // the next probe is not immediate
 	}
 	return check
 }
@@ -113,11 +113,11 @@
 }()
 
 // completedCheck is returned if nothing more can be learned about a server.
-var completedCheck = forward.CrashCheck{FirstLook: closedChannel, Done: closedChannel}
+var completedCheck = forward.CrashCheck{FirstProbe: closedChannel, Done: closedChannel}
 
-// Answered implements forward.Guard.
-func (c *crashDetector) Answered(fp serving.Fingerprint) {
-	before, changed := c.ledger.Answered(fp, clock.Now())
+// RecordSuccess implements forward.Guard.
+func (c *crashDetector) RecordSuccess(fp serving.Fingerprint) {
+	before, changed := c.ledger.RecordAnswer(fp, clock.Now())
 	if !changed {
 		return
 	}
@@ -125,8 +125,8 @@
 	c.quarantine.recordCleared(fp, before)
 }
 
-// Ended implements forward.Guard.
-func (c *crashDetector) Ended(s serving.Server) bool {
+// Crashed implements forward.Guard.
+func (c *crashDetector) Crashed(s serving.Server) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.incarnations[quarantine.IncarnationOf(s)]
@@ -165,19 +165,19 @@
 	if s, known := c.dir.Server(incarnation.Server); known && s.Draining && s.Born == incarnation.Born {
 		return // the end was planned
 	}
-	var raised []quarantine.Raise
+	var escalations []quarantine.Escalation
 	for _, b := range failures {
-		if b.Left && now.Sub(b.at) > cancelledRelevance {
+		if b.ClientGone && now.Sub(b.at) > cancelledRelevance {
 			continue
 		}
-		raised = append(raised, c.ledger.Ended(b.BrokenAttempt, now)...)
+		escalations = append(escalations, c.ledger.RecordCrash(b.BrokenAttempt, now)...)
 		// Restarted instances decide by all ends recorded for held requests, so each further end is
 		// written to the store.
 		if c.ledger.State(b.Fingerprint) != quarantine.Clear {
 			c.quarantine.scheduleWrite(b.Fingerprint)
 		}
 	}
-	c.quarantine.recordChange(raised)
+	c.quarantine.recordChange(escalations)
 }
 
 // handleEntryRemoved records that a server's entry was removed from the store.
@@ -227,13 +227,13 @@
 // sweep decides pending ends of requests that ran alone, and drops expired failures, ends and
 // quarantine entries.
 func (c *crashDetector) sweep(now time.Time) {
-	raised, dropped := c.ledger.DecidePending(now)
+	escalations, dropped := c.ledger.DecidePending(now)
 	for _, fp := range dropped {
 		c.log.WithField("fingerprint", fp).Info("end under a run alone does not count, another suspect was there")
 	}
 	c.quarantine.scheduleWrite(dropped...)
-	if len(raised)+len(dropped) > 0 {
-		c.quarantine.recordChange(raised)
+	if len(escalations)+len(dropped) > 0 {
+		c.quarantine.recordChange(escalations)
 	}
 	for _, incarnation := range c.matchingIncarnations(func(w *incarnationWatch) bool { return now.Sub(w.lastChange) > failureRetention }) {
 		c.forget(incarnation)
--- a/entry/era.go
+++ b/entry/era.go
@@ -48,10 +48,10 @@
 
 // mustRelist reports whether the objects under a prefix, read by a call that began at started, have to
 // be listed again. Entries from before the restore count only if they are still there after
-// CopiedGrace.
+// RestoreGrace.
 func (w *watcher) mustRelist(prefix string, started time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	graceEnd := w.eraStart.Add(directory.CopiedGrace)
+	graceEnd := w.eraStart.Add(directory.RestoreGrace)
 	return prefix == platform.PrefixServers && !w.eraStart.IsZero() && started.Before(graceEnd) && !clock.Now().Before(graceEnd)
 }
--- a/entry/follower.go
+++ b/entry/follower.go
@@ -94,7 +94,7 @@
 	holderOutage      uint64
 	holderOutageSince time.Time
 	// cachedPlaces are recent answers of the holder to Want; guarded by mu.
-	cachedPlaces map[forward.Wanted]cachedPlace
+	cachedPlaces map[forward.PlaceRequest]cachedPlace
 
 	// reportRequested wakes run to send the next report at once.
 	reportRequested chan struct{}
@@ -112,14 +112,14 @@
 	domain string
 	// self handles this instance's calls to itself.
 	self *service
-	// ledger records the requests under which servers ended. onRaised is called with the requests that
-	// become suspect or quarantined because of the holder's updates; set before run.
+	// ledger records the requests under which servers ended. onEscalations is called with the requests
+	// that become suspect or quarantined because of the holder's updates; set before run.
 	ledger *quarantine.Ledger
 	// limiter has the limits of servers; set before run.
 	limiter *serverLimiter
 	// shares are the parts of workspaces' limits that are lent to this instance; set before run.
-	shares   *quota.Shares
-	onRaised func([]quarantine.Raise)
+	shares        *quota.Shares
+	onEscalations func([]quarantine.Escalation)
 	// link is how much of each other's ledgers the holder and this instance have; guarded by mu.
 	link quarantine.Link
 }
@@ -146,8 +146,8 @@
 func newFollower(name string, h *holder.Holder, dir *directory.Directory, pool *rpcpool.Pool, m *members, log logrus.FieldLogger) *follower {
 	return &follower{
 		name: name, holder: h, dir: dir, pool: pool, members: m, log: log,
-		arrivals: map[string]*holder.Arrivals{}, running: map[unitOnEngine]int{}, waiting: map[string]map[*waitingRequest]struct{}{}, cachedPlaces: map[forward.Wanted]cachedPlace{}, instances: assumedInstances, minInterval: exchangeInterval,
-		reportRequested: make(chan struct{}, 1), ledger: quarantine.NewLedger(), shares: quota.NewShares(0), onRaised: func([]quarantine.Raise) {},
+		arrivals: map[string]*holder.Arrivals{}, running: map[unitOnEngine]int{}, waiting: map[string]map[*waitingRequest]struct{}{}, cachedPlaces: map[forward.PlaceRequest]cachedPlace{}, instances: assumedInstances, minInterval: exchangeInterval,
+		reportRequested: make(chan struct{}, 1), ledger: quarantine.NewLedger(), shares: quota.NewShares(0), onEscalations: func([]quarantine.Escalation) {},
 	}
 }
 
@@ -239,7 +239,7 @@
 		f.limitsExchange = limitsProgress{fence: record.Fence}
 	}
 	var through uint64
-	args.Leaving = f.dir.Leavers()
+	args.Leaving = f.dir.LeavingServers()
 	args.SeenLimits = f.limitsExchange.received
 	args.ServerLimits, through = f.limiter.ledger.Since(f.limitsExchange.sent, clock.Now())
 	var reply ExchangeReply
@@ -249,8 +249,8 @@
 		f.applyCrashes(args.Crashes, reply.Crashes, clock.Now())
 	}
 	if err != nil || !reply.Held {
-		f.shares.Unreported(args.Uses, clock.Now())
-		f.limiter.shares.Unreported(args.ServerUses, clock.Now())
+		f.shares.RestoreReport(args.Uses, clock.Now())
+		f.limiter.shares.RestoreReport(args.ServerUses, clock.Now())
 		f.recordUnanswered(record, err)
 		return false
 	}
@@ -259,8 +259,8 @@
 	f.limiter.mergeLimits(reply.ServerLimits, record.Holder)
 	f.limiter.mergeLeaving(reply.Leaving, record.Holder)
 	f.applyLimits(&reply, sent, clock.Exact())
-	f.holder.HeardRemoteAtOnce(reply.News.RemoteAtOnce)
-	f.holder.Heard(reply.News.Lease)
+	f.holder.SetRemoteConcurrency(reply.News.RemoteAtOnce)
+	f.holder.ObserveRemote(reply.News.Lease)
 	return true
 }
 
@@ -268,7 +268,7 @@
 // configuration is. The answer was created after sent, when the report was sent.
 func (f *follower) applyLimits(reply *ExchangeReply, sent, now time.Time) {
 	if config := reply.News.Config; config.Version > 0 {
-		f.dir.Confirm(config.Version, config.AsOf(sent))
+		f.dir.Confirm(config.Version, config.ConfirmedAt(sent))
 	}
 	if reply.Lends {
 		f.shares.Apply(reply.Loans, sent, now)
@@ -290,7 +290,7 @@
 	if now := clock.Now(); f.serversDiffer && now.Sub(f.lastFullRequest) >= fullRequestWait(f.fullRequests) {
 		f.lastFullRequest = now
 		f.fullRequests++
-		r.Revision = directory.Everything
+		r.Revision = directory.AllServers
 	}
 	for _, a := range f.arrivals {
 		r.Arrivals = append(r.Arrivals, *a)
@@ -303,7 +303,7 @@
 	for model := range f.waiting {
 		r.Waiting[model] = f.waitingFor(model, clock.Now())
 	}
-	return f.record, &ExchangeArgs{Report: r, Crashes: f.ledger.Tell(f.link, clock.Now())}
+	return f.record, &ExchangeArgs{Report: r, Crashes: f.ledger.NextMessage(f.link, clock.Now())}
 }
 
 // fullRequestWait returns the pause after the given number of requests for the full list of servers.
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -25,7 +25,7 @@
 		return state
 	}
 	for _, s := range g.dir.Servers(service) {
-		if onVersion := g.ledger.StateOn(fp, s.Version); onVersion != quarantine.Quarantined {
+		if onVersion := g.ledger.StateOnVersion(fp, s.Version); onVersion != quarantine.Quarantined {
 			return onVersion
 		}
 	}
@@ -34,7 +34,7 @@
 
 // StateOn implements forward.Guard.
 func (g *crashGuard) StateOn(fp serving.Fingerprint, s serving.Server) quarantine.State {
-	return g.ledger.StateOn(fp, s.Version)
+	return g.ledger.StateOnVersion(fp, s.Version)
 }
 
 // Implicated implements forward.Guard.
@@ -54,9 +54,9 @@
 	return g.quarantine.loaded.Load() || clock.Since(g.quarantine.started) > loadGrace
 }
 
-// Try implements forward.Guard. Only the holder lets a suspect request run; while there is no holder,
-// none runs.
-func (g *crashGuard) Try(ctx context.Context, fp serving.Fingerprint, s serving.Server, maxRun time.Duration) (forward.Trial, error) {
+// RequestTrial implements forward.Guard. Only the holder lets a suspect request run; while there is no
+// holder, none runs.
+func (g *crashGuard) RequestTrial(ctx context.Context, fp serving.Fingerprint, s serving.Server, maxRun time.Duration) (forward.Trial, error) {
 	trial := quarantine.Trial{Fingerprint: fp, Server: s.ID, Instance: g.follower.name}
 	granted, err := g.follower.requestTrial(ctx, trial, s.Version, maxRun)
 	if err != nil {
--- a/entry/quarantine_urgent.go
+++ b/entry/quarantine_urgent.go
@@ -18,9 +18,9 @@
 const minUrgentInterval = 100 * time.Millisecond
 
 // scheduleUrgent schedules notifying all other instances of requests.
-func (q *quarantineManager) scheduleUrgent(raised []quarantine.Raise) {
+func (q *quarantineManager) scheduleUrgent(escalations []quarantine.Escalation) {
 	q.mu.Lock()
-	for _, r := range raised {
+	for _, r := range escalations {
 		q.urgent[r.Fingerprint] = true
 	}
 	q.mu.Unlock()
@@ -49,7 +49,7 @@
 	q.mu.Unlock()
 	var records []quarantine.Record
 	for fp := range urgent {
-		records = append(records, q.ledger.Known(fp, clock.Now())...)
+		records = append(records, q.ledger.RecordsOf(fp, clock.Now())...)
 	}
 	if len(records) == 0 {
 		return
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -48,7 +48,7 @@
 	ServerLimits []backpressure.Snapshot
 	SeenLimits   uint64
 	// Leaving are the servers that have announced in answers that they leave.
-	Leaving []directory.Leaver
+	Leaving []directory.LeavingServer
 }
 
 // WireView is a directory.EngineView with times as durations from now.
@@ -74,7 +74,7 @@
 	// more loads. It is the zero Record if there is none.
 	GaveUp lease.Record
 	// News has no views: they are sent in Views.
-	News  holder.News
+	News  holder.Update
 	Views []WireView
 	// StoreAgeMS is the maximum age of the holder's copy of the store, in milliseconds.
 	StoreAgeMS int64
@@ -89,7 +89,7 @@
 	ServerLimits []backpressure.Snapshot
 	LimitsUpTo   uint64
 	// Leaving are the servers that have announced in answers that they leave.
-	Leaving []directory.Leaver
+	Leaving []directory.LeavingServer
 }
 
 // TurnArgs asks to admit a request to a server with a limit. Told is the limit as known to the
@@ -143,7 +143,7 @@
 	// one.
 	GaveUp lease.Record
 	// Lease is what the instance knows of the holder's last renewal.
-	Lease lease.Standing
+	Lease lease.RenewalAge
 }
 
 // AnnounceArgs announces a new holder with the record that it has written.
@@ -215,7 +215,7 @@
 	reply.Crashes = s.quarantine.answerMessage(args.Crashes, now)
 	update, err := s.holder.Exchange(args.Report, now)
 	if errors.Is(err, holder.ErrNotHolder) {
-		reply.GaveUp = s.holder.GaveUp()
+		reply.GaveUp = s.holder.SurrenderedRecord()
 		return nil
 	}
 	for _, v := range update.Views {
@@ -224,7 +224,7 @@
 	update.Views = nil
 	reply.Held, reply.News, reply.StoreAgeMS = true, update, s.storeAge(now).Milliseconds()
 	s.limiter.mergeLeaving(args.Leaving, args.Name)
-	reply.Leaving = s.limiter.dir.Leavers()
+	reply.Leaving = s.limiter.dir.LeavingServers()
 	s.limiter.mergeLimits(args.ServerLimits, args.Name)
 	reply.ServerLimits, reply.LimitsUpTo = s.limiter.ledger.Since(args.SeenLimits, now)
 	loans, lends := s.holder.Lend(args.Name, holder.Uses{Workspaces: args.Uses, Servers: args.ServerUses})
@@ -259,7 +259,7 @@
 		return nil
 	}
 	reply.Held, reply.Found, reply.Engine = true, ok, found.Engine
-	reply.InMS, reply.For = millisUntil(found.Ready, now), found.For
+	reply.InMS, reply.For = millisUntil(found.Ready, now), found.WaitReason
 	return nil
 }
 
@@ -277,9 +277,9 @@
 		s.trials.End(args.Trial, args.Doubtful, now)
 		return nil
 	}
-	reply.Held = s.holder.Settled(now)
-	reply.Known = s.quarantine.ledger.Known(args.Fingerprint, now)
-	mayRun := s.quarantine.ledger.StateOn(args.Fingerprint, args.Version) == quarantine.Suspect && !s.quarantine.ledger.HasPending(args.Fingerprint)
+	reply.Held = s.holder.PriorOperationsEnded(now)
+	reply.Known = s.quarantine.ledger.RecordsOf(args.Fingerprint, now)
+	mayRun := s.quarantine.ledger.StateOnVersion(args.Fingerprint, args.Version) == quarantine.Suspect && !s.quarantine.ledger.HasPending(args.Fingerprint)
 	if reply.Held && mayRun {
 		reply.Granted = s.trials.Begin(args.Trial, time.Duration(args.LongestMS)*time.Millisecond, now)
 	}
@@ -290,14 +290,14 @@
 func (s *service) Consult(args *ConsultArgs, reply *ConsultReply) error {
 	now := clock.Now()
 	s.quarantine.merge(args.Known, now)
-	reply.Known = s.quarantine.ledger.Known(args.Fingerprint, now)
+	reply.Known = s.quarantine.ledger.RecordsOf(args.Fingerprint, now)
 	return nil
 }
 
 // Reaches answers whether the holder answers this instance.
 func (s *service) Reaches(args *ReachesArgs, reply *ReachesReply) error {
 	reply.Reaches, reply.GaveUp = s.follower.reachesHolder(args.Holder, clock.Now())
-	reply.Lease = s.holder.Standing()
+	reply.Lease = s.holder.RenewalAge()
 	return nil
 }
 
@@ -309,7 +309,7 @@
 
 // Use records that a request begins.
 func (s *service) Use(args *UseArgs, _ *UseReply) error {
-	s.holder.Used(args.Use, clock.Now())
+	s.holder.RequestStarted(args.Use, clock.Now())
 	return nil
 }
 
--- a/entry/serverlimiter.go
+++ b/entry/serverlimiter.go
@@ -20,15 +20,15 @@
 
 // serverLimiter limits the requests sent to backend servers that limit their load. It knows the limits
 // that servers state in their answers, and those that other instances report. It implements
-// forward.Intake.
+// forward.ServerLimiter.
 type serverLimiter struct {
 	ledger *backpressure.Ledger
 	// shares are the parts of the limits that the holder has lent. uncoordinated limits what the
 	// instance sends while no holder lends.
 	shares        *quota.Shares
-	uncoordinated *backpressure.Alone
+	uncoordinated *backpressure.HolderlessLimiter
 	// queries bounds how often the holder is asked.
-	queries *backpressure.Questions
+	queries *backpressure.QueryLimiter
 	dir     *directory.Directory
 	// members has the instances that share a server while no holder lends.
 	members *members
@@ -51,7 +51,7 @@
 
 func newServerLimiter(self string, dir *directory.Directory, m *members, set *metrics.Set, log logrus.FieldLogger) *serverLimiter {
 	i := &serverLimiter{
-		ledger: backpressure.NewLedger(), shares: quota.NewShares(backpressure.QuotaParams().Lifetime), uncoordinated: backpressure.NewAlone(self), queries: &backpressure.Questions{},
+		ledger: backpressure.NewLedger(), shares: quota.NewShares(backpressure.QuotaParams().Lifetime), uncoordinated: backpressure.NewHolderlessLimiter(self), queries: &backpressure.QueryLimiter{},
 		dir: dir, members: m, log: log, lastLent: clock.Now(), spareFrom: map[string]time.Time{}, lastRefused: map[string]time.Time{}, requestReport: func() {}, instances: func() int { return 1 },
 	}
 	gauge := func(name string, value func(limited, resting int) int) {
@@ -59,14 +59,14 @@
 	}
 	gauge("martenport_servers_limited", func(limited, _ int) int { return limited })
 	gauge("martenport_servers_resting", func(_, resting int) int { return resting })
-	set.NewGauge("martenport_servers_leaving", func() float64 { return float64(len(dir.Leavers())) })
+	set.NewGauge("martenport_servers_leaving", func() float64 { return float64(len(dir.LeavingServers())) })
 	return i
 }
 
 // observe applies what a server states about itself in an answer, and logs what has changed.
 func (i *serverLimiter) observe(w serving.Advisory) {
 	if w.Leaving {
-		i.markLeaving(directory.Leaver{ID: w.Server, Born: w.Born}, "answer")
+		i.markLeaving(directory.LeavingServer{ID: w.Server, Born: w.Born}, "answer")
 	}
 	changed := i.ledger.Observe(w, clock.Now())
 	if changed == (backpressure.Change{}) {
@@ -88,8 +88,8 @@
 }
 
 // markLeaving records that a server has announced that it leaves.
-func (i *serverLimiter) markLeaving(server directory.Leaver, source string) {
-	if !i.dir.Leave(server, clock.Now()) {
+func (i *serverLimiter) markLeaving(server directory.LeavingServer, source string) {
+	if !i.dir.MarkLeaving(server, clock.Now()) {
 		return
 	}
 	i.log.WithFields(logrus.Fields{"server": server.ID, "born": server.Born, "source": source}).Info("server says that it leaves")
@@ -97,7 +97,7 @@
 }
 
 // mergeLeaving records the leaving servers that another instance reports.
-func (i *serverLimiter) mergeLeaving(list []directory.Leaver, source string) {
+func (i *serverLimiter) mergeLeaving(list []directory.LeavingServer, source string) {
 	for _, l := range list {
 		i.markLeaving(l, source)
 	}
@@ -124,19 +124,19 @@
 
 // mergeLimits applies the limits that another instance reports.
 func (i *serverLimiter) mergeLimits(snapshots []backpressure.Snapshot, source string) {
-	for _, l := range i.ledger.Take(snapshots, clock.Now()) {
+	for _, l := range i.ledger.Merge(snapshots, clock.Now()) {
 		i.log.WithFields(logrus.Fields{
-			"server": l.Server, "born": l.Born, "sent_ms": clock.Since(l.Sent).Milliseconds(), "limited": l.Named, "rate": l.Rate, "source": source,
+			"server": l.Server, "born": l.Born, "sent_ms": clock.Since(l.SentAt).Milliseconds(), "limited": l.Advertised, "rate": l.Rate, "source": source,
 		}).Info("server's limit changed")
 	}
 }
 
-// RetryAfterUntil implements forward.Intake.
+// RetryAfterUntil implements forward.ServerLimiter.
 func (i *serverLimiter) RetryAfterUntil(s serving.Server) time.Time {
 	return i.ledger.RetryAfterUntil(s)
 }
 
-// Limited implements forward.Intake.
+// Limited implements forward.ServerLimiter.
 func (i *serverLimiter) Limited(s serving.Server) (limited bool, spareFrom time.Time) {
 	if _, limited = i.ledger.Limit(s); !limited {
 		return false, time.Time{}
@@ -146,20 +146,20 @@
 	return true, i.spareFrom[s.ID]
 }
 
-// Admit implements forward.Intake.
+// Admit implements forward.ServerLimiter.
 func (i *serverLimiter) Admit(ctx context.Context, s serving.Server, t quota.Turn, only bool) forward.Admission {
 	rate, limited := i.ledger.Limit(s)
 	if !limited {
 		return forward.Admission{Granted: true}
 	}
 	now := clock.Exact()
-	a := forward.Admission{Rate: rate, GiveBack: func() { i.shares.GiveBack(s.ID, 1, now, clock.Exact()) }}
+	a := forward.Admission{Rate: rate, Refund: func() { i.shares.Refund(s.ID, 1, now, clock.Exact()) }}
 	a.Granted = i.shares.Take(s.ID, 1, now)
 	if !a.Granted {
-		a.Granted, a.After = i.askHolder(ctx, s, rate, t)
+		a.Granted, a.RetryAfter = i.askHolder(ctx, s, rate, t)
 	}
 	if !a.Granted {
-		i.recordRefused(s.ID, rate, only, a.After)
+		i.recordRefused(s.ID, rate, only, a.RetryAfter)
 	}
 	return a
 }
@@ -207,7 +207,7 @@
 	if only {
 		i.lastRefused[server] = now
 	} else {
-		i.spareFrom[server] = now.Add(backpressure.SpareAgain(rate, instances, after))
+		i.spareFrom[server] = now.Add(backpressure.SpareRetryDelay(rate, instances, after))
 	}
 }
 
@@ -231,7 +231,7 @@
 	i.mu.Lock()
 	i.lastLent = sent
 	i.mu.Unlock()
-	i.uncoordinated.Lent()
+	i.uncoordinated.Reset()
 }
 
 // limiterSweepInterval is how often the state of removed servers is dropped.
@@ -262,10 +262,10 @@
 // lendableLimits gives the holder the limits that it lends. It implements holder.ServerLimits.
 type lendableLimits struct{ ledger *backpressure.Ledger }
 
-// Lent implements holder.ServerLimits.
-func (l lendableLimits) Lent(server string) (serving.Limit, bool) {
-	rate, ok := l.ledger.Account(server, clock.Now())
-	return backpressure.LimitAt(rate), ok
+// LendableLimit implements holder.ServerLimits.
+func (l lendableLimits) LendableLimit(server string) (serving.Limit, bool) {
+	rate, ok := l.ledger.AccountingRate(server, clock.Now())
+	return backpressure.LentLimit(rate), ok
 }
 
 // Limited implements holder.ServerLimits.
