--- a/command/orderer/epoch.go
+++ b/command/orderer/epoch.go
@@ -84,7 +84,7 @@
 	}
 	o.incarnation = incarnation
 	o.fenced = false
-	o.ledger.Restarted(incarnation)
+	o.ledger.DropOldIncarnations(incarnation)
 	o.countDoubtful()
 }
 
@@ -136,7 +136,7 @@
 			next.Entries[u.ID()] = e
 		}
 	}
-	next.Apply(r, time.Now())
+	next.ApplyReport(r, time.Now())
 	return next
 }
 
@@ -182,7 +182,7 @@
 	}
 	record, _ := o.settled()
 	c := placement.Claim{Unit: order.Unit, MemoryBytes: order.MemoryBytes, Order: order.ID, Epoch: o.record.Epoch}
-	return platformFailure(o.writeRecord(ctx, record.Add(c)))
+	return platformFailure(o.writeRecord(ctx, record.AddClaim(c)))
 }
 
 // supersede stops ordering because another instance has taken over, and tells
@@ -206,7 +206,7 @@
 	if err != nil {
 		return
 	}
-	closed, changed := record.Close(func(c placement.Claim) bool {
+	closed, changed := record.CloseClaims(func(c placement.Claim) bool {
 		return c.Epoch == mine && !o.isUnresolved(c.Order)
 	})
 	if changed {
--- a/command/orderer/history_test.go
+++ b/command/orderer/history_test.go
@@ -176,7 +176,7 @@
 // run orders at random until the time is up.
 func (i instance) run(ctx context.Context, stop time.Time, start int) {
 	policy := placement.DefaultPolicy()
-	policy.Quiet, policy.MaxKeep = time.Second, 20*time.Second
+	policy.MinIdle, policy.MaxKeepAlive = time.Second, 20*time.Second
 	for life := start; time.Now().Before(stop); life++ {
 		env := &Environment{
 			Instance: i.name, Identity: fmt.Sprintf("%s#%d", i.name, life),
--- a/command/orderer/orderer.go
+++ b/command/orderer/orderer.go
@@ -75,14 +75,14 @@
 	// guarded by turn.
 	fenced bool
 
-	held       map[string]bool          // guarded by turn; models whose slot names this epoch
-	unresolved map[string]backend.Order // guarded by turn; by id, orders to load sent without an answer
-	roleOrder  sentRole                 // guarded by turn; the last one
-	published  table.Residency          // guarded by turn
-	loads      uint64                   // guarded by turn; version of published load figures
-	loadAt     time.Time                // guarded by turn; of the last publication of load figures
-	misses     int                      // guarded by turn; reports that failed in a row
-	history    *placement.Histories     // guarded by turn
+	held       map[string]bool           // guarded by turn; models whose slot names this epoch
+	unresolved map[string]backend.Order  // guarded by turn; by id, orders to load sent without an answer
+	roleOrder  sentRole                  // guarded by turn; the last one
+	published  table.Residency           // guarded by turn
+	loads      uint64                    // guarded by turn; version of published load figures
+	loadAt     time.Time                 // guarded by turn; of the last publication of load figures
+	misses     int                       // guarded by turn; reports that failed in a row
+	history    *placement.UsageHistories // guarded by turn
 
 	active  atomic.Bool
 	changed *broadcast
@@ -95,7 +95,7 @@
 		turn:    make(chan struct{}, 1),
 		changed: newBroadcast(),
 		past:    map[string]bool{},
-		history: placement.NewHistories(),
+		history: placement.NewUsageHistories(),
 	}
 }
 
@@ -229,8 +229,8 @@
 	return false, nil
 }
 
-func (o *Orderer) costs() placement.Costs {
-	return placement.Costs{Tiers: o.report.Tiers, Histories: o.history, Capacity: int64(o.declared.Memory)}
+func (o *Orderer) costs() placement.EngineContext {
+	return placement.EngineContext{Tiers: o.report.Tiers, Histories: o.history, Capacity: int64(o.declared.Memory)}
 }
 
 // sendLoad sends an order that is counted already.
--- a/command/orderer/report.go
+++ b/command/orderer/report.go
@@ -71,7 +71,7 @@
 	o.meet(report.Incarnation)
 	before := o.phases()
 	o.report = report
-	o.ledger.Apply(report, time.Now())
+	o.ledger.ApplyReport(report, time.Now())
 	o.countDoubtful()
 	for _, id := range report.Orders {
 		delete(o.unresolved, id)
@@ -95,7 +95,7 @@
 	for id, e := range o.ledger.Entries {
 		was := before[id]
 		if e.Phase == placement.Resident && (was == placement.Ordered || was == placement.Loading) {
-			o.history.Ready(id, e.ReadyAt)
+			o.history.RecordReady(id, e.ReadyAt)
 			o.event(event.KindLoaded, id, "")
 		}
 	}
@@ -103,7 +103,7 @@
 
 func (o *Orderer) noteUse() {
 	for id, e := range o.ledger.Entries {
-		o.history.Use(id, e.LastUsed)
+		o.history.RecordUse(id, e.LastUsed)
 	}
 }
 
--- a/command/orderer/slots.go
+++ b/command/orderer/slots.go
@@ -101,7 +101,7 @@
 // fails is tried again by tidy.
 func (o *Orderer) adoptSlots(ctx context.Context) {
 	_ = eachSlots(ctx, o.env.Store, func(_ store.Object, slots placement.ModelSlots) error {
-		if _, bound := slots.Bound(o.declared.Name); bound {
+		if _, bound := slots.SlotOf(o.declared.Name); bound {
 			_ = o.ensureSlot(ctx, slots.Model)
 		}
 		return nil
--- a/command/orderer/surplus.go
+++ b/command/orderer/surplus.go
@@ -20,7 +20,7 @@
 	if err != nil || version == 0 {
 		return false
 	}
-	return o.sized(model, slots).Excess(o.declared.Name)
+	return o.sized(model, slots).ExceedsCap(o.declared.Name)
 }
 
 // tidySlots frees slots that are held for models that may not be loaded here
--- a/command/orderer/tidy.go
+++ b/command/orderer/tidy.go
@@ -82,11 +82,11 @@
 // settled returns the record with all claims closed that are proved to be, and
 // those struck out of which the engine holds nothing.
 func (o *Orderer) settled() (placement.EngineRecord, bool) {
-	next, closed := o.record.Close(func(c placement.Claim) bool {
+	next, closed := o.record.CloseClaims(func(c placement.Claim) bool {
 		sent := c.Epoch == o.record.Epoch && !o.isUnresolved(c.Order)
 		return sent || slices.Contains(o.report.Orders, c.Order)
 	})
-	next, struck := next.Strike(func(unitID string) bool {
+	next, struck := next.PruneClaims(func(unitID string) bool {
 		e, found := o.ledger.Entries[unitID]
 		return found && e.Phase != placement.Doubtful
 	})
@@ -149,7 +149,7 @@
 }
 
 func (o *Orderer) idle(e placement.Entry) bool {
-	return o.env.Policy.DueForUnload(e, o.costs(), o.env.Tables.Config.Index().Declaration.TailWeight, time.Now())
+	return o.env.Policy.IdleExpired(e, o.costs(), o.env.Tables.Config.Index().Declaration.TailWeight, time.Now())
 }
 
 // excess reports whether the model's cap was lowered below this unit's slot.
--- a/command/placement/history.go
+++ b/command/placement/history.go
@@ -5,96 +5,97 @@
 	"time"
 )
 
-// keptGaps is how many idle gaps are remembered of one unit, and pooledGaps of
-// all units together.
+// Bounds on the recorded idle gaps: maxGapsPerUnit for each unit, maxPooledGaps for all units
+// together.
 const (
-	keptGaps   = 48
-	pooledGaps = 256
+	maxGapsPerUnit = 48
+	maxPooledGaps  = 256
 )
 
-// burstGap is the shortest pause between uses that counts as idleness.
-const burstGap = time.Second
-
-// Histories is the recent idle gaps of the units that an orderer has seen. It
-// is not safe for concurrent use.
-type Histories struct {
-	units map[string]*history
-	// pool holds the newest gaps of all units: what is known of a unit that
-	// has few gaps of its own.
-	pool []time.Duration
-	next int // where the next gap goes once pool is full
+// minIdleGap is the shortest pause between uses that counts as idle time. Shorter pauses belong to
+// a burst of requests.
+const minIdleGap = time.Second
+
+// UsageHistories records the recent idle gaps of the units that an orderer has seen. It is not safe
+// for concurrent use.
+type UsageHistories struct {
+	units map[string]*unitHistory
+	// pool is a ring buffer of the latest gaps of all units. It serves as the prior for units that
+	// have few gaps of their own.
+	pool     []time.Duration
+	poolNext int // index in pool to overwrite next once the pool is full
 }
 
-type history struct {
-	last time.Time
-	gaps []time.Duration
+type unitHistory struct {
+	lastUsed time.Time
+	gaps     []time.Duration
 }
 
-// NewHistories returns empty histories.
-func NewHistories() *Histories {
-	return &Histories{units: map[string]*history{}}
+// NewUsageHistories returns a UsageHistories without any records.
+func NewUsageHistories() *UsageHistories {
+	return &UsageHistories{units: map[string]*unitHistory{}}
 }
 
-// Use notes that the unit was last used at t.
-func (h *Histories) Use(unitID string, t time.Time) {
-	one, found := h.units[unitID]
+// RecordUse records that the unit was in use at t. A pause of at least minIdleGap since the
+// previous use is recorded as an idle gap.
+func (h *UsageHistories) RecordUse(unitID string, t time.Time) {
+	unit, found := h.units[unitID]
 	if !found {
-		h.units[unitID] = &history{last: t}
+		h.units[unitID] = &unitHistory{lastUsed: t}
 		return
 	}
-	gap := t.Sub(one.last)
+	gap := t.Sub(unit.lastUsed)
 	if gap <= 0 {
 		return
 	}
-	one.last = t
-	if gap < burstGap {
+	unit.lastUsed = t
+	if gap < minIdleGap {
 		return
 	}
-	one.gaps = append(one.gaps, gap)
-	if len(one.gaps) > keptGaps {
-		one.gaps = slices.Delete(one.gaps, 0, 1)
+	unit.gaps = append(unit.gaps, gap)
+	if len(unit.gaps) > maxGapsPerUnit {
+		unit.gaps = slices.Delete(unit.gaps, 0, 1)
 	}
-	if len(h.pool) < pooledGaps {
+	if len(h.pool) < maxPooledGaps {
 		h.pool = append(h.pool, gap)
 		return
 	}
-	h.pool[h.next] = gap
-	h.next = (h.next + 1) % pooledGaps
+	h.pool[h.poolNext] = gap
+	h.poolNext = (h.poolNext + 1) % maxPooledGaps
 }
 
-// Ready notes that the unit became ready at t, after a load. The time of the
-// load is no idleness.
-func (h *Histories) Ready(unitID string, t time.Time) {
-	if one, found := h.units[unitID]; found && t.After(one.last) {
-		one.last = t
+// RecordReady records that the unit became ready at t after a load. The duration of the load does
+// not count as idle time.
+func (h *UsageHistories) RecordReady(unitID string, t time.Time) {
+	if unit, found := h.units[unitID]; found && t.After(unit.lastUsed) {
+		unit.lastUsed = t
 	}
 }
 
-// Gaps returns the unit's own gaps.
-func (h *Histories) Gaps(unitID string) []time.Duration {
-	if one, found := h.units[unitID]; found {
-		return one.gaps
+// Gaps returns the recorded idle gaps of the unit. The caller must not modify the slice.
+func (h *UsageHistories) Gaps(unitID string) []time.Duration {
+	if unit, found := h.units[unitID]; found {
+		return unit.gaps
 	}
 	return nil
 }
 
-// priorWeight is how many gaps of a unit's own the gaps of all units together
-// are worth.
+// priorWeight is the weight of the whole pool, in gaps of the unit itself.
 const priorWeight = 8.0
 
-// ReturnChance estimates how likely the unit, idle for age, is used again
-// within horizon.
-func (h *Histories) ReturnChance(unitID string, age, horizon time.Duration) float64 {
+// ReuseProbability estimates the probability that the unit, idle for age, is used again within
+// horizon.
+func (h *UsageHistories) ReuseProbability(unitID string, age, horizon time.Duration) float64 {
 	own := h.Gaps(unitID)
-	returned, open := 1.0, 2.0 // one of either kind, for when nothing is known
+	reused, total := 1.0, 2.0 // one reuse and one miss as a prior, for units without history
 	count := func(gaps []time.Duration, weight float64) {
 		for _, g := range gaps {
 			if g <= age {
 				continue
 			}
-			open += weight
+			total += weight
 			if g <= age+horizon {
-				returned += weight
+				reused += weight
 			}
 		}
 	}
@@ -102,62 +103,62 @@
 	if len(h.pool) > 0 {
 		count(h.pool, priorWeight/float64(len(h.pool)))
 	}
-	return returned / open
+	return reused / total
 }
 
-// KeepFor returns how long the idle unit is kept. Of the lengths that would
-// have mattered in the past it takes the one with the least cost, where a
-// second of idle memory costs idleCost and a load that has to be repeated
-// loadCost. Without any past it is the length at which both are equal, which
-// costs at most twice the best choice in hindsight.
-func (h *Histories) KeepFor(unitID string, idleCost, loadCost float64) time.Duration {
+// KeepAlive returns how long the idle unit should stay loaded. It evaluates candidate durations
+// against the recorded gaps and returns the one with the lowest total cost, where idleCost is the
+// cost of one second of idle memory and loadCost the cost of a load that has to be repeated.
+// Without any recorded gap it returns the duration at which both costs are equal, which costs at
+// most twice the optimum in hindsight.
+func (h *UsageHistories) KeepAlive(unitID string, idleCost, loadCost float64) time.Duration {
 	own := h.Gaps(unitID)
 	if len(own)+len(h.pool) == 0 {
 		return time.Duration(loadCost / idleCost * float64(time.Second))
 	}
 	cost := func(keep time.Duration) float64 {
-		sum := keepCost(own, keep, idleCost, loadCost) + unseenWeight*keepCost(unseenGaps, keep, idleCost, loadCost)
+		sum := keepAliveCost(own, keep, idleCost, loadCost) + assumedGapWeight*keepAliveCost(assumedGaps, keep, idleCost, loadCost)
 		if len(h.pool) > 0 {
-			sum += keepCost(h.pool, keep, idleCost, loadCost) * priorWeight / float64(len(h.pool))
+			sum += keepAliveCost(h.pool, keep, idleCost, loadCost) * priorWeight / float64(len(h.pool))
 		}
 		return sum
 	}
-	best, least := time.Duration(0), cost(0)
-	for _, keep := range h.candidates(own) {
-		if c := cost(keep); c < least {
-			best, least = keep, c
+	best, lowest := time.Duration(0), cost(0)
+	for _, keep := range h.keepAliveCandidates(own) {
+		if c := cost(keep); c < lowest {
+			best, lowest = keep, c
 		}
 	}
 	return best
 }
 
-// unseenGaps stand for what a short history has not shown yet: that nothing
-// longer was seen does not mean that nothing longer comes. Each weighs
-// unseenWeight of a gap that was seen.
-var unseenGaps = []time.Duration{time.Minute, 10 * time.Minute, time.Hour, 6 * time.Hour}
+// assumedGaps represent long gaps that a short history does not contain yet: that no longer gap was
+// recorded does not mean that none will occur. Each of them has the weight assumedGapWeight, where
+// a recorded gap of the unit has 1.
+var assumedGaps = []time.Duration{time.Minute, 10 * time.Minute, time.Hour, 6 * time.Hour}
 
-const unseenWeight = 0.25
+const assumedGapWeight = 0.25
 
-// keepMargin adds a tenth to a gap seen before, since the next is not the same
-// to the second.
-const keepMargin = 10
+// gapMarginDivisor sets the margin added to a recorded gap: a tenth of it, since the next gap will
+// not have exactly the same length.
+const gapMarginDivisor = 10
 
-// poolStride takes every so many of the pooled gaps as a candidate.
+// poolStride is the step between the pooled gaps that are used as candidates.
 const poolStride = 8
 
-func (h *Histories) candidates(own []time.Duration) []time.Duration {
+func (h *UsageHistories) keepAliveCandidates(own []time.Duration) []time.Duration {
 	out := make([]time.Duration, 0, len(own)+len(h.pool)/poolStride+1)
 	for _, g := range own {
-		out = append(out, g+g/keepMargin)
+		out = append(out, g+g/gapMarginDivisor)
 	}
-	out = append(out, unseenGaps...)
+	out = append(out, assumedGaps...)
 	for i := 0; i < len(h.pool); i += poolStride {
-		out = append(out, h.pool[i]+h.pool[i]/keepMargin)
+		out = append(out, h.pool[i]+h.pool[i]/gapMarginDivisor)
 	}
 	return out
 }
 
-func keepCost(gaps []time.Duration, keep time.Duration, idleCost, loadCost float64) float64 {
+func keepAliveCost(gaps []time.Duration, keep time.Duration, idleCost, loadCost float64) float64 {
 	cost := 0.0
 	for _, g := range gaps {
 		cost += min(g, keep).Seconds() * idleCost
--- a/command/placement/ledger.go
+++ b/command/placement/ledger.go
@@ -9,66 +9,67 @@
 	"github.com/martenport/martenport/backend"
 )
 
-// Errors of the ledger.
+// Errors returned by Ledger and Policy.
 var (
-	// ErrNoMemory: the unit does not fit beside what must stay.
+	// ErrNoMemory is returned when the unit does not fit even if every evictable unit is unloaded.
 	ErrNoMemory = errors.New("placement: not enough accelerator memory")
-	// ErrBusy: the unit is being unloaded or its order is unresolved.
+	// ErrBusy is returned when an order for the unit is outstanding or its outcome is unknown.
 	ErrBusy = errors.New("placement: unit has an order in progress")
 )
 
-// Phase is the orderer's knowledge of one unit on its engine.
+// Phase is the state of one unit on its engine as known to the orderer.
 type Phase int
 
-// The phases. In each of them the unit's memory is counted.
+// Phases of a unit. The unit's memory is counted in every phase.
 const (
-	// Ordered: an order to load may be sent or was sent, and the engine has
-	// not reported it.
+	// Ordered: the load order has been reserved and may have been sent, and the engine has not
+	// reported the unit yet.
 	Ordered Phase = iota + 1
-	// Loading and Resident are reported by the engine.
+	// Loading and Resident are as reported by the engine.
 	Loading
 	Resident
-	// Unloading: an order to unload was sent and the engine has not reported
-	// the unit gone.
+	// Unloading: an unload order was sent and the engine has not yet reported that the unit is
+	// gone.
 	Unloading
-	// Doubtful: an order to load may be under way, sent by an earlier orderer
-	// or without an answer, and the engine has not reported the unit.
+	// Doubtful: a load order may still be in flight, because an earlier orderer sent it or because
+	// it was not answered, and the engine has not reported the unit.
 	Doubtful
 )
 
-// Entry is one unit that occupies or may come to occupy memory.
+// Entry is the ledger record of one unit that occupies memory or may occupy it later.
 type Entry struct {
 	Unit        backend.Unit
 	MemoryBytes int64
 	Phase       Phase
-	// Order is the id of the last order sent for the unit by this orderer.
+	// Order is the ID of the last order that this orderer sent for the unit.
 	Order string
-	// Incarnation of the engine that has taken that order or reported the
-	// unit; empty while neither has happened.
+	// Incarnation is the incarnation of the engine that accepted the order or reported the unit. It
+	// is empty until one of these has happened.
 	Incarnation string
-	// Served is the engine's count of requests when last seen.
+	// Served is the number of requests served, from the last report.
 	Served uint64
-	// Running is the engine's count of requests in progress when last seen.
+	// Running is the number of requests in progress, from the last report.
 	Running int
-	// LastUsed is when a request last used the unit, or when it became ready.
+	// LastUsed is the time of the last use by a request, or the time at which the unit became ready
+	// if that is later.
 	LastUsed time.Time
-	// ReadyAt is when it was first reported resident.
+	// ReadyAt is when the unit was first reported resident.
 	ReadyAt time.Time
 }
 
-// Ledger is the memory account of one engine, kept by its orderer. Sum over
-// entries never passes Capacity. It is not safe for concurrent use.
+// Ledger tracks the memory of one engine and is kept by the engine's orderer. Reserve never takes
+// the sum over the entries past Capacity. It is not safe for concurrent use.
 type Ledger struct {
 	Capacity int64
 	Entries  map[string]Entry
 }
 
-// NewLedger returns an empty ledger.
+// NewLedger returns an empty ledger for an engine with capacity bytes of memory.
 func NewLedger(capacity int64) *Ledger {
 	return &Ledger{Capacity: capacity, Entries: map[string]Entry{}}
 }
 
-// Used returns the bytes counted.
+// Used returns the number of bytes held by all entries.
 func (l *Ledger) Used() int64 {
 	var sum int64
 	for _, e := range l.Entries {
@@ -77,10 +78,12 @@
 	return sum
 }
 
-// Free returns the bytes not counted.
+// Free returns the number of bytes not held by any entry. It is negative if doubtful entries exceed
+// the capacity.
 func (l *Ledger) Free() int64 { return l.Capacity - l.Used() }
 
-// Reserve counts u before its order is sent.
+// Reserve adds an entry for u before its load order is sent. It returns ErrBusy if there already is
+// an entry for the unit and ErrNoMemory if memory bytes are not free.
 func (l *Ledger) Reserve(u backend.Unit, memory int64, order string, now time.Time) error {
 	if _, found := l.Entries[u.ID()]; found {
 		return ErrBusy
@@ -92,15 +95,14 @@
 	return nil
 }
 
-// Cancel drops a reservation whose order certainly was and will not be sent.
+// Cancel removes the reservation of an order that is certain to be neither sent nor carried out.
 func (l *Ledger) Cancel(unitID string) {
 	if e, found := l.Entries[unitID]; found && e.Phase == Ordered {
 		delete(l.Entries, unitID)
 	}
 }
 
-// Ack notes which incarnation of the engine has taken the last order for the
-// unit.
+// Ack records the engine incarnation that accepted the last order for the unit.
 func (l *Ledger) Ack(unitID, incarnation string) {
 	if e, found := l.Entries[unitID]; found {
 		e.Incarnation = incarnation
@@ -108,9 +110,10 @@
 	}
 }
 
-// Restarted drops what an earlier incarnation of the engine held or was
-// ordered to load. Orders that no incarnation has taken yet stay counted.
-func (l *Ledger) Restarted(incarnation string) {
+// DropOldIncarnations removes the entries that earlier incarnations of the engine held or were
+// ordered to load. Orders that no incarnation has accepted yet keep their entries, and so do
+// doubtful ones.
+func (l *Ledger) DropOldIncarnations(incarnation string) {
 	for id, e := range l.Entries {
 		if e.Incarnation != "" && e.Incarnation != incarnation && e.Phase != Doubtful {
 			delete(l.Entries, id)
@@ -118,7 +121,8 @@
 	}
 }
 
-// StartUnload marks the unit as ordered to unload.
+// StartUnload marks the unit as being unloaded by the given order. It returns ErrBusy if the unit
+// is unknown, ordered or doubtful.
 func (l *Ledger) StartUnload(unitID, order string) error {
 	e, found := l.Entries[unitID]
 	if !found || e.Phase == Doubtful || e.Phase == Ordered {
@@ -131,29 +135,29 @@
 	return nil
 }
 
-// Apply brings the ledger up to a report. A unit that the report lacks is
-// dropped only if the engine has received the last order for it, or if no
-// order is open. The report is of the engine's current incarnation, and
-// Restarted was called if that is a new one.
-func (l *Ledger) Apply(r backend.Report, now time.Time) {
+// ApplyReport updates the ledger from a report. A unit that is missing from the report is removed
+// only if the engine has received the last order for it, or if no order for it is outstanding. The
+// report must come from the engine's current incarnation, and DropOldIncarnations must have been
+// called if that incarnation is new.
+func (l *Ledger) ApplyReport(r backend.Report, now time.Time) {
 	reported := map[string]bool{}
 	for _, u := range r.Units {
 		reported[u.ID()] = true
-		l.see(u, r, now)
+		l.applyUnit(u, r, now)
 	}
 	for id, e := range l.Entries {
 		if reported[id] || e.Phase == Doubtful {
 			continue
 		}
-		open := e.Phase == Ordered || e.Phase == Unloading
-		if open && !slices.Contains(r.Orders, e.Order) {
+		orderOpen := e.Phase == Ordered || e.Phase == Unloading
+		if orderOpen && !slices.Contains(r.Orders, e.Order) {
 			continue
 		}
 		delete(l.Entries, id)
 	}
 }
 
-func (l *Ledger) see(u backend.UnitReport, r backend.Report, now time.Time) {
+func (l *Ledger) applyUnit(u backend.UnitReport, r backend.Report, now time.Time) {
 	e, found := l.Entries[u.ID()]
 	if !found {
 		e = Entry{LastUsed: now}
@@ -174,11 +178,11 @@
 		e.ReadyAt, e.LastUsed = now, now
 	}
 	l.Entries[u.ID()] = e
-	l.useModel(u.Unit, e.LastUsed)
+	l.touchModel(u.Unit, e.LastUsed)
 }
 
-// useModel counts the use of an adapter as one of its model.
-func (l *Ledger) useModel(u backend.Unit, at time.Time) {
+// touchModel counts the use of an adapter as a use of its base model.
+func (l *Ledger) touchModel(u backend.Unit, at time.Time) {
 	m, found := l.Entries[u.Model]
 	if u.Adapter != "" && found && at.After(m.LastUsed) {
 		m.LastUsed = at
@@ -197,8 +201,8 @@
 	}
 }
 
-// AddDoubtful counts a unit that may come to be loaded by an order that is
-// under way, whether or not the engine reports it now.
+// AddDoubtful counts the memory of a unit that an order in flight may still load, whether or not
+// the engine reports the unit now.
 func (l *Ledger) AddDoubtful(u backend.Unit, memory int64, order string) {
 	e, found := l.Entries[u.ID()]
 	if !found {
--- a/command/placement/rank.go
+++ b/command/placement/rank.go
@@ -10,38 +10,38 @@
 	"github.com/martenport/martenport/table"
 )
 
-// Candidate is an engine on which a unit could be loaded, with the time that
-// this is expected to take.
+// Candidate is an engine on which a unit could be loaded, with the expected time until it is
+// resident.
 type Candidate struct {
 	Engine  string
 	Orderer string
 	Wait    time.Duration
 }
 
-// The parts of a candidate's expected wait that are not its own load.
+// Components of a candidate's expected wait other than the load itself.
 const (
-	// evictionWait is added when something must be unloaded first.
+	// evictionWait is added when another unit must be unloaded first.
 	evictionWait = 500 * time.Millisecond
-	// slotWait is added when the engine does not hold the model's slot yet.
+	// slotWait is added when the engine does not yet hold a slot of the model.
 	slotWait = 100 * time.Millisecond
-	// farWait is added for an engine of another failure domain.
-	farWait = 200 * time.Millisecond
-	// queueWait is added for each request waiting or running there.
+	// remoteDomainWait is added for an engine in another failure domain.
+	remoteDomainWait = 200 * time.Millisecond
+	// queueWait is added for each request that is queued or running on the engine.
 	queueWait = 20 * time.Millisecond
 )
 
-// Need is a unit that should be loaded, and where it is wanted.
-type Need struct {
+// LoadRequest is a unit to load and the failure domain of the instance that needs it.
+type LoadRequest struct {
 	Unit          backend.Unit
 	MemoryBytes   int64
 	FailureDomain string
 }
 
-// Rank returns the engines that could take the unit, the soonest first.
-// Engines without a known orderer, leaving ones, and those on which even
-// unloading everything idle would not make room are left out.
-func (p Policy) Rank(need Need, index *declaration.Index, engines []table.EngineView) []Candidate {
-	model, found := index.Models[need.Unit.Model]
+// Rank returns the engines on which the unit could be loaded, in ascending order of expected wait.
+// It omits engines that have no known orderer, are not usable, or could not make room even by
+// unloading every idle unit.
+func (p Policy) Rank(req LoadRequest, index *declaration.Index, engines []table.EngineView) []Candidate {
+	model, found := index.Models[req.Unit.Model]
 	if !found {
 		return nil
 	}
@@ -51,7 +51,7 @@
 		if !known || declared.Lost || !e.Usable() || e.Orderer == "" || !model.AllowedIn(e.FailureDomain) {
 			continue
 		}
-		if wait, possible := p.wait(need, e); possible {
+		if wait, possible := p.expectedWait(req, e); possible {
 			out = append(out, Candidate{Engine: e.Engine, Orderer: e.Orderer, Wait: wait})
 		}
 	}
@@ -61,47 +61,48 @@
 	return out
 }
 
-func (p Policy) wait(need Need, e table.EngineView) (time.Duration, bool) {
-	if u, found := e.Find(need.Unit.ID()); found {
-		return p.waitForSame(need, u, e)
+func (p Policy) expectedWait(req LoadRequest, e table.EngineView) (time.Duration, bool) {
+	if u, found := e.Find(req.Unit.ID()); found {
+		return p.expectedWaitIfPresent(req, u, e)
 	}
-	if need.Unit.Adapter != "" && !slices.ContainsFunc(e.Units, func(u table.UnitState) bool {
-		return u.Unit.ID() == need.Unit.Model && u.State == backend.Resident
+	if req.Unit.Adapter != "" && !slices.ContainsFunc(e.Units, func(u table.UnitState) bool {
+		return u.Unit.ID() == req.Unit.Model && u.State == backend.Resident
 	}) {
 		return 0, false
 	}
 	free := e.MemoryBytes - e.UsedBytes
-	if free+e.IdleBytes < need.MemoryBytes {
+	if free+e.IdleBytes < req.MemoryBytes {
 		return 0, false
 	}
-	wait := p.LoadTime(e.Cached[need.Unit.ID()], need.MemoryBytes) * time.Duration(1+loading(e))
-	if free < need.MemoryBytes {
+	wait := p.LoadTime(e.Cached[req.Unit.ID()], req.MemoryBytes) * time.Duration(1+countLoading(e))
+	if free < req.MemoryBytes {
 		wait += evictionWait
 	}
-	if need.Unit.Adapter == "" && !slices.Contains(e.Held, need.Unit.Model) {
+	if req.Unit.Adapter == "" && !slices.Contains(e.Held, req.Unit.Model) {
 		wait += slotWait
 	}
-	if e.FailureDomain != need.FailureDomain {
-		wait += farWait
+	if e.FailureDomain != req.FailureDomain {
+		wait += remoteDomainWait
 	}
 	return wait + queueWait*time.Duration(e.Load.Queue+e.Load.Running), true
 }
 
-// waitForSame is the wait where the unit is in some state on the engine
-// already: joining a load is soonest, another version must be unloaded first.
-func (p Policy) waitForSame(need Need, u table.UnitState, e table.EngineView) (time.Duration, bool) {
-	whole := p.LoadTime(e.Cached[need.Unit.ID()], need.MemoryBytes)
+// expectedWaitIfPresent returns the expected wait on an engine that already has the unit in some
+// state. Joining a load in progress is assumed to take half a load; a different version has to be
+// unloaded first.
+func (p Policy) expectedWaitIfPresent(req LoadRequest, u table.UnitState, e table.EngineView) (time.Duration, bool) {
+	loadTime := p.LoadTime(e.Cached[req.Unit.ID()], req.MemoryBytes)
 	switch {
-	case u.Unit != need.Unit || u.State == backend.Unloading:
-		return whole + evictionWait, true
+	case u.Unit != req.Unit || u.State == backend.Unloading:
+		return loadTime + evictionWait, true
 	case u.State == backend.Resident:
 		return 0, true
 	default:
-		return whole / 2, true
+		return loadTime / 2, true
 	}
 }
 
-func loading(e table.EngineView) int {
+func countLoading(e table.EngineView) int {
 	n := 0
 	for _, u := range e.Units {
 		if u.State == backend.Loading {
--- a/command/placement/record.go
+++ b/command/placement/record.go
@@ -6,39 +6,39 @@
 	"github.com/martenport/martenport/backend"
 )
 
-// EngineRecord is the platform object of one engine: who orders it, under
-// which epoch, and, for an engine that ignores epochs, every order to load
-// that may still arrive.
+// EngineRecord is the platform object of one engine: its orderer, the orderer's epoch and, for an
+// engine that does not support fencing, every load order that may still arrive.
 type EngineRecord struct {
-	// Orderer is the identity (name and incarnation) of the instance that
-	// sends this engine its orders; empty after a handover.
+	// Orderer is the identity (name and incarnation) of the instance that sends orders to this
+	// engine. It is empty after a handover.
 	Orderer string `json:"orderer"`
 	Epoch   uint64 `json:"epoch"`
-	// Claims count loads on an engine that ignores epochs. Engines that
-	// honour them need none: the engine itself keeps late orders out.
+	// Claims lists the load orders of an engine that does not check epochs. An engine that does
+	// needs none, since it rejects late orders itself.
 	Claims []Claim `json:"claims,omitempty"`
 }
 
-// Claim is one order to load, written before it is sent and sent at most once.
+// Claim is one load order. It is written before the order is sent, and the order is sent at most
+// once.
 type Claim struct {
 	backend.Unit
 	MemoryBytes int64 `json:"memory_bytes"`
-	// Order is the id under which the engine reports it as received.
+	// Order is the ID under which the engine reports the order as received.
 	Order string `json:"order"`
-	// Epoch of the orderer that wrote the claim and alone may send the order.
+	// Epoch is the epoch of the orderer that wrote the claim. Only that orderer may send the order.
 	Epoch uint64 `json:"epoch"`
-	// Closed says that the order has arrived or never will: it cannot arrive
-	// from now on.
+	// Closed means that the order has already arrived or will never be sent, so that it cannot
+	// arrive from now on.
 	Closed bool `json:"closed,omitempty"`
 }
 
-// Doubtful reports whether an earlier orderer may still send the claim's
-// order. The slot and the memory then stay bound to this engine and unit.
+// Doubtful reports whether an earlier orderer may still send the claim's order. Until that is ruled
+// out, the slot and the memory stay reserved for this unit on this engine.
 func (r EngineRecord) Doubtful(c Claim) bool {
 	return !c.Closed && c.Epoch != r.Epoch
 }
 
-// DoubtfulClaims lists the doubtful claims.
+// DoubtfulClaims returns the claims for which Doubtful holds.
 func (r EngineRecord) DoubtfulClaims() []Claim {
 	var out []Claim
 	for _, c := range r.Claims {
@@ -49,32 +49,31 @@
 	return out
 }
 
-// Takeover returns the record under a new orderer. Open claims become doubtful
-// by it unless the engine has received them.
+// Takeover returns the record for a new orderer under the next epoch. It closes the claims whose
+// orders the engine has received; the claims that remain open become doubtful.
 func (r EngineRecord) Takeover(orderer string, received []string) EngineRecord {
-	r, _ = r.Close(func(c Claim) bool { return slices.Contains(received, c.Order) })
+	r, _ = r.CloseClaims(func(c Claim) bool { return slices.Contains(received, c.Order) })
 	r.Orderer = orderer
 	r.Epoch++
 	return r
 }
 
-// Handover returns the record without an orderer. The one that writes it sends
-// no order any more, so that its claims are closed, but for those whose order
-// it sent without an answer.
+// Handover returns the record without an orderer. The instance that writes it sends no further
+// orders, so it closes its own claims, except those whose orders were sent but not answered.
 func (r EngineRecord) Handover(unresolved func(order string) bool) EngineRecord {
-	r, _ = r.Close(func(c Claim) bool { return c.Epoch == r.Epoch && !unresolved(c.Order) })
+	r, _ = r.CloseClaims(func(c Claim) bool { return c.Epoch == r.Epoch && !unresolved(c.Order) })
 	r.Orderer = ""
 	return r
 }
 
-// Close closes the claims for which proved holds and reports whether there
-// were any.
-func (r EngineRecord) Close(proved func(Claim) bool) (EngineRecord, bool) {
+// CloseClaims closes the open claims for which canClose returns true and reports whether there were
+// any.
+func (r EngineRecord) CloseClaims(canClose func(Claim) bool) (EngineRecord, bool) {
 	changed := false
 	r.Claims = slices.Clone(r.Claims)
 	for i := range r.Claims {
 		c := &r.Claims[i]
-		if !c.Closed && proved(*c) {
+		if !c.Closed && canClose(*c) {
 			c.Closed = true
 			changed = true
 		}
@@ -82,15 +81,15 @@
 	return r, changed
 }
 
-// Add returns the record with c.
-func (r EngineRecord) Add(c Claim) EngineRecord {
+// AddClaim returns the record with c appended.
+func (r EngineRecord) AddClaim(c Claim) EngineRecord {
 	r.Claims = append(slices.Clone(r.Claims), c)
 	return r
 }
 
-// Strike removes the closed claims of which the engine holds nothing, and the
-// older of two closed claims of one unit. It reports whether there were any.
-func (r EngineRecord) Strike(holds func(unitID string) bool) (EngineRecord, bool) {
+// PruneClaims removes closed claims of units that the engine does not hold and, where a unit has
+// several closed claims, all but the newest. It reports whether it removed any.
+func (r EngineRecord) PruneClaims(holds func(unitID string) bool) (EngineRecord, bool) {
 	before := len(r.Claims)
 	kept := map[string]bool{}
 	claims := slices.Clone(r.Claims)
--- a/command/placement/slots.go
+++ b/command/placement/slots.go
@@ -1,16 +1,15 @@
-// Package placement decides which replicas are loaded where. It is pure: state
-// and time come in, verdicts and orders come out.
+// Package placement decides which replicas are loaded on which engines. It is pure: state and time
+// are passed in, and decisions are returned.
 //
 // # Why the cap holds
 //
-// A model has as many slots as its declared maximum of replicas. A slot is
-// free, or bound to one engine and one epoch of that engine's orderer. Slots
-// are kept in one platform object a model and change by conditional update
-// only, so their number is the cap and no two engines share one. An order to
-// load is sent only by an orderer whose epoch the slot names. A slot leaves an
-// engine only by its orderer's own write, after the unload is proved. Nothing
-// in this expires: a bound slot is a standing permission, which is why a
-// failure domain that is cut off may go on loading within the slots it holds.
+// A model has as many slots as its declared maximum number of replicas. A slot is either free or
+// bound to one engine and to one epoch of that engine's orderer. The slots of a model are kept in
+// one platform object and change only by conditional update, so their number is the cap and no two
+// engines share a slot. A load order is sent only by an orderer whose epoch the slot names. Only
+// the engine's own orderer releases the slot, after it has confirmed the unload. Nothing expires: a
+// bound slot is a permission without time limit, which is why a failure domain that is cut off may
+// continue to load within the slots that it holds.
 package placement
 
 import (
@@ -20,48 +19,49 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of slot transitions.
+// Errors returned by slot transitions.
 var (
-	// ErrNotBound: the model has no slot bound to the engine.
+	// ErrNotBound is returned when no slot of the model is bound to the engine.
 	ErrNotBound = errors.New("placement: slot not bound to this engine")
-	// ErrSuperseded: a newer epoch of the engine's orderer holds the slot.
+	// ErrSuperseded is returned when the slot is held by a newer epoch of the engine's orderer.
 	ErrSuperseded = errors.New("placement: slot held by a newer epoch")
-	// ErrOldGeneration: the slots were sized by a newer declaration.
+	// ErrOldGeneration is returned when a newer declaration has already set the number of slots.
 	ErrOldGeneration = errors.New("placement: declaration older than the slots")
 )
 
-// NoSlotError says that every slot of the model is bound to another engine.
+// NoSlotError is returned when every slot of the model is bound to another engine.
 type NoSlotError struct {
 	Model string
-	// Engines hold the slots; there are none if the cap is 0.
+	// Engines are the engines that hold the slots. It is empty if the cap is 0.
 	Engines []string
 }
 
-// Error names the engines that hold the slots.
+// Error implements error. The text lists the engines that hold the slots.
 func (e *NoSlotError) Error() string {
 	return "placement: no free slot of " + e.Model + ", bound to: " + strings.Join(e.Engines, ", ")
 }
 
-// Slot is the right to hold one replica of a model.
+// Slot is the permission to hold one replica of a model.
 type Slot struct {
-	// Engine that the slot is bound to, empty when it is free.
+	// Engine is the engine to which the slot is bound, empty if the slot is free.
 	Engine string `json:"engine,omitempty"`
-	// Epoch of the engine's orderer that bound or adopted it.
+	// Epoch is the epoch of the engine's orderer that bound or adopted the slot.
 	Epoch uint64 `json:"epoch,omitempty"`
 }
 
-// ModelSlots is the platform object of one model.
+// ModelSlots is the platform object that holds the slots of one model.
 type ModelSlots struct {
 	Model string `json:"model"`
-	// Generation of the declaration that sized the slots. Older ones never
-	// size them again, so that a late instance cannot raise a lowered cap.
+	// Generation is the generation of the declaration that set the number of slots. Older
+	// declarations cannot change it any more, so that an instance with an outdated declaration
+	// cannot raise a lowered cap.
 	Generation int64  `json:"generation"`
 	Cap        int    `json:"cap"`
 	Slots      []Slot `json:"slots"`
 }
 
-// Resize returns m sized by a declaration. Free slots go first when the cap is
-// lowered; bound ones stay, counted, until their orderers release them.
+// Resize returns m with the cap of the given declaration. When the cap is lowered, free slots are
+// removed; bound slots remain, and count, until their orderers release them.
 func (m ModelSlots) Resize(generation int64, maxReplicas int) (ModelSlots, error) {
 	if generation < m.Generation {
 		return m, ErrOldGeneration
@@ -75,7 +75,7 @@
 	return m, nil
 }
 
-// trim removes free slots while there are more than maxReplicas in all.
+// trim removes free slots while there are more than maxReplicas slots.
 func trim(slots []Slot, maxReplicas int) []Slot {
 	out := make([]Slot, 0, len(slots))
 	surplus := len(slots) - maxReplicas
@@ -89,8 +89,9 @@
 	return out
 }
 
-// Bind gives a slot to the engine at epoch: the engine's own one if it has
-// one, else a free one.
+// Bind binds a slot to the engine under epoch: the slot that the engine already holds, or else a
+// free one. It returns a NoSlotError if there is neither, and ErrSuperseded if the engine's slot
+// has a newer epoch.
 func (m ModelSlots) Bind(engine string, epoch uint64) (ModelSlots, error) {
 	i := m.find(engine)
 	if i < 0 {
@@ -107,8 +108,9 @@
 	return m, nil
 }
 
-// Release frees the engine's slot, or removes it when the cap was lowered.
-// The caller has proved that the engine neither holds nor can get the model.
+// Release frees the engine's slot, or removes it if the number of slots is above the cap. The
+// caller must have confirmed that the engine neither holds the model nor can still receive an order
+// to load it.
 func (m ModelSlots) Release(engine string, epoch uint64) (ModelSlots, error) {
 	i := m.find(engine)
 	if i < 0 {
@@ -123,22 +125,22 @@
 	return m, nil
 }
 
-// Excess reports whether the engine's slot is above the cap and must go. The
-// slots bound last go first.
-func (m ModelSlots) Excess(engine string) bool {
+// ExceedsCap reports whether the engine's slot is above the cap and must be released. Slots later
+// in the list are released first.
+func (m ModelSlots) ExceedsCap(engine string) bool {
 	i := m.find(engine)
 	return i >= m.Cap && i >= 0
 }
 
-// Bound returns the slot of the engine.
-func (m ModelSlots) Bound(engine string) (Slot, bool) {
+// SlotOf returns the slot bound to the engine.
+func (m ModelSlots) SlotOf(engine string) (Slot, bool) {
 	if i := m.find(engine); i >= 0 {
 		return m.Slots[i], true
 	}
 	return Slot{}, false
 }
 
-// Engines lists the engines that hold slots.
+// Engines returns the engines that hold slots.
 func (m ModelSlots) Engines() []string {
 	var out []string
 	for _, s := range m.Slots {
--- a/command/wake/hold.go
+++ b/command/wake/hold.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return placement.Candidate{}, err
 	}
-	need := placement.Need{Unit: u, MemoryBytes: memory, FailureDomain: w.env.Tables.Members.Self().FailureDomain}
+	need := placement.LoadRequest{Unit: u, MemoryBytes: memory, FailureDomain: w.env.Tables.Members.Self().FailureDomain}
 	last := error(verdict.Refuse(verdict.ReasonNoReplica, "no engine has room for %s", u.ID()).After(w.params.RetryAfter))
 	for i, c := range w.env.Policy.Rank(need, index, engines) {
 		if i == w.params.Tries || ctx.Err() != nil {
