--- a/command/orderer/epoch.go
+++ b/command/orderer/epoch.go
@@ -14,41 +14,41 @@
 	"github.com/martenport/martenport/table"
 )
 
-// recordKey is the platform object of an engine.
+// recordKey returns the store key of the engine's record.
 func recordKey(engine string) string { return store.PrefixEngines + engine }
 
 func formatEpoch(epoch uint64) string { return strconv.FormatUint(epoch, 10) }
 
-// Takeover makes this instance the engine's orderer under a new epoch. It is
-// safe whatever the recorded orderer is doing; that nobody takes over from one
-// that is well is left to the manager.
+// Takeover makes this instance the engine's orderer under a new epoch. It is safe whatever the
+// recorded orderer is doing. Takeover does not check whether that orderer is alive; the manager
+// does, so that no engine is taken from a healthy orderer.
 func (o *Orderer) Takeover(ctx context.Context) error {
-	if err := o.take(ctx); err != nil {
+	if err := o.lock(ctx); err != nil {
 		return err
 	}
-	defer o.give()
-	o.held = map[string]bool{}
+	defer o.unlock()
+	o.heldSlots = map[string]bool{}
 	o.unresolved = map[string]backend.Order{}
 	o.ledger = placement.NewLedger(int64(o.declared.Memory))
 	record, version, err := store.Read[placement.EngineRecord](ctx, o.env.Store, recordKey(o.declared.Name))
 	if err != nil {
 		return err
 	}
-	o.record, o.version = record, version
-	if err := o.install(ctx); err != nil {
+	o.record, o.recordRevision = record, version
+	if err := o.installEpoch(ctx); err != nil {
 		return err
 	}
 	o.active.Store(true)
-	o.event(event.KindTakeover, "", "epoch="+formatEpoch(o.record.Epoch))
+	o.recordEvent(event.KindTakeover, "", "epoch="+formatEpoch(o.record.Epoch))
 	o.adoptSlots(ctx)
 	o.publish()
 	return nil
 }
 
-// install writes the record under a new epoch, fences the engine and rebuilds
-// the ledger from the engine's report and the claims.
-func (o *Orderer) install(ctx context.Context) error {
-	received, err := o.receivedBefore(ctx)
+// installEpoch writes the record under a new epoch, fences the engine and rebuilds the ledger from
+// the engine's report and the claims. o.mutex must be held.
+func (o *Orderer) installEpoch(ctx context.Context) error {
+	received, err := o.receivedOrders(ctx)
 	if err != nil {
 		return err
 	}
@@ -56,31 +56,31 @@
 	if err := o.writeRecord(ctx, next); err != nil {
 		return err
 	}
-	o.held = map[string]bool{}
+	o.heldSlots = map[string]bool{}
 	o.fenced = false
 	report, err := o.fence(ctx)
 	if err != nil {
 		return err
 	}
-	o.meet(report.Incarnation)
+	o.observeIncarnation(report.Incarnation)
 	o.unresolved = map[string]backend.Order{}
 	o.fenced = true
 	o.report = report
-	o.ledger = rebuild(o.ledger, report)
+	o.ledger = rebuildLedger(o.ledger, report)
 	o.countDoubtful()
 	o.changed.wake()
 	return nil
 }
 
-// meet notes the engine's incarnation. A new one holds nothing of what the
-// earlier ones did, and has forgotten which epochs it had seen.
-func (o *Orderer) meet(incarnation string) {
-	if incarnation == o.incarnation || o.past[incarnation] {
+// observeIncarnation records the engine's incarnation. A new incarnation holds nothing of what the
+// earlier ones held and no longer knows which epochs they had seen. o.mutex must be held.
+func (o *Orderer) observeIncarnation(incarnation string) {
+	if incarnation == o.incarnation || o.pastIncarnations[incarnation] {
 		return
 	}
 	if o.incarnation != "" {
-		o.past[o.incarnation] = true
-		o.event(event.KindReclaimed, "", "incarnation="+incarnation)
+		o.pastIncarnations[o.incarnation] = true
+		o.recordEvent(event.KindReclaimed, "", "incarnation="+incarnation)
 	}
 	o.incarnation = incarnation
 	o.fenced = false
@@ -88,25 +88,25 @@
 	o.countDoubtful()
 }
 
-// ensureFenced has this incarnation of the engine refuse older epochs before
-// it is ordered anything: a new incarnation would still take the orders of an
-// orderer that was superseded long ago.
+// ensureFenced makes the current incarnation of the engine reject older epochs before any order is
+// sent to it: a new incarnation would still accept the orders of an orderer that was superseded
+// long ago. o.mutex must be held.
 func (o *Orderer) ensureFenced(ctx context.Context) error {
 	if o.fenced || !o.declared.Fencing {
 		return nil
 	}
-	if err := o.install(ctx); err != nil {
+	if err := o.installEpoch(ctx); err != nil {
 		return platformFailure(err)
 	}
 	o.adoptSlots(ctx)
 	return nil
 }
 
-// receivedBefore asks an engine that ignores fencing which orders it has
-// received, so that their claims are not taken as doubtful.
-func (o *Orderer) receivedBefore(ctx context.Context) ([]string, error) {
+// receivedOrders returns the IDs of the orders that an engine without fencing support has received,
+// so that their claims do not become doubtful.
+func (o *Orderer) receivedOrders(ctx context.Context) ([]string, error) {
 	if o.declared.Fencing || len(o.record.Claims) == 0 {
-		return nil, nil // no claims to prove
+		return nil, nil // there are no claims to check
 	}
 	report, err := o.engine.Report(ctx, 0)
 	return report.Orders, err
@@ -120,15 +120,15 @@
 	}
 	report, err := o.engine.Fence(ctx, o.record.Epoch)
 	if errors.Is(err, backend.ErrStaleEpoch) {
-		o.supersede(ctx)
+		o.stopSuperseded(ctx)
 		return report, ErrNotOrderer
 	}
 	return report, err
 }
 
-// rebuild makes the ledger anew after fencing; only the history of use of the
-// units that are still there is kept from the old one.
-func rebuild(old *placement.Ledger, r backend.Report) *placement.Ledger {
+// rebuildLedger returns a new ledger built from the report after fencing. From the old ledger it
+// keeps only the usage data of units that are still on the engine.
+func rebuildLedger(old *placement.Ledger, r backend.Report) *placement.Ledger {
 	next := placement.NewLedger(old.Capacity)
 	for _, u := range r.Units {
 		if e, found := old.Entries[u.ID()]; found && e.Unit == u.Unit {
@@ -140,9 +140,9 @@
 	return next
 }
 
-// countDoubtful puts what may still be loaded into the ledger, whatever the
-// engine reports: doubtful claims, and own orders without an answer. A unit
-// that was unloaded while such an order is under way may come back.
+// countDoubtful adds to the ledger what may still be loaded, whatever the engine reports: doubtful
+// claims, and own load orders that were not answered. Such an order may load a unit again after it
+// was unloaded. o.mutex must be held.
 func (o *Orderer) countDoubtful() {
 	for _, c := range o.record.DoubtfulClaims() {
 		o.ledger.AddDoubtful(c.Unit, c.MemoryBytes, c.Order)
@@ -152,75 +152,76 @@
 	}
 }
 
-// isUnresolved reports whether an order was sent and not answered.
+// isUnresolved reports whether the load order was sent but not answered.
 func (o *Orderer) isUnresolved(id string) bool {
 	_, found := o.unresolved[id]
 	return found
 }
 
-// writeRecord writes the engine's record. A conflict means that another
-// instance has taken over.
+// writeRecord writes the engine's record. A conflict means that another instance has taken over;
+// the result is then ErrNotOrderer.
 func (o *Orderer) writeRecord(ctx context.Context, next placement.EngineRecord) error {
-	version, err := store.WriteJSON(ctx, o.env.Store, recordKey(o.declared.Name), next, o.version)
+	version, err := store.WriteJSON(ctx, o.env.Store, recordKey(o.declared.Name), next, o.recordRevision)
 	if errors.Is(err, store.ErrConflict) {
-		o.supersede(ctx)
+		o.stopSuperseded(ctx)
 		return ErrNotOrderer
 	}
 	if err != nil {
 		return err
 	}
-	o.record, o.version = next, version
+	o.record, o.recordRevision = next, version
 	return nil
 }
 
-// claim writes the claim of an order to an engine that ignores fencing. What
-// the engine does not hold any more is struck out in the same write, so that
-// the claims together never pass its memory.
-func (o *Orderer) claim(ctx context.Context, order backend.Order) error {
+// writeClaim writes the claim for a load order to an engine without fencing support. Closed claims
+// of units that the engine no longer holds are removed in the same write, so that the claims
+// together never exceed the engine's memory. o.mutex must be held.
+func (o *Orderer) writeClaim(ctx context.Context, order backend.Order) error {
 	if o.declared.Fencing {
 		return nil
 	}
-	record, _ := o.settled()
+	record, _ := o.settledRecord()
 	c := placement.Claim{Unit: order.Unit, MemoryBytes: order.MemoryBytes, Order: order.ID, Epoch: o.record.Epoch}
 	return platformFailure(o.writeRecord(ctx, record.AddClaim(c)))
 }
 
-// supersede stops ordering because another instance has taken over, and tells
-// it which orders it need not wait for.
-func (o *Orderer) supersede(ctx context.Context) {
+// stopSuperseded stops ordering because another instance has taken over, and closes the claims that
+// the new orderer does not need to wait for. o.mutex must be held.
+func (o *Orderer) stopSuperseded(ctx context.Context) {
 	if !o.active.Swap(false) {
 		return
 	}
-	o.event(event.KindSuperseded, "", "epoch="+formatEpoch(o.record.Epoch))
+	o.recordEvent(event.KindSuperseded, "", "epoch="+formatEpoch(o.record.Epoch))
 	o.changed.wake()
 	if !o.declared.Fencing {
-		o.withdraw(ctx)
+		o.closeOwnClaims(ctx)
 	}
 }
 
-// withdraw closes the claims that this orderer wrote under its epoch: being
-// superseded, it will not send what it has not sent. It holds its turn: none is being sent.
-func (o *Orderer) withdraw(ctx context.Context) {
-	mine := o.record.Epoch
+// closeOwnClaims closes the claims that this orderer wrote under its epoch, except those whose
+// orders were sent but not answered: a superseded orderer sends no further orders. o.mutex must be
+// held, which ensures that no order is being sent.
+func (o *Orderer) closeOwnClaims(ctx context.Context) {
+	ownEpoch := o.record.Epoch
 	record, version, err := store.Read[placement.EngineRecord](ctx, o.env.Store, recordKey(o.declared.Name))
 	if err != nil {
 		return
 	}
 	closed, changed := record.CloseClaims(func(c placement.Claim) bool {
-		return c.Epoch == mine && !o.isUnresolved(c.Order)
+		return c.Epoch == ownEpoch && !o.isUnresolved(c.Order)
 	})
 	if changed {
 		_, _ = store.WriteJSON(ctx, o.env.Store, recordKey(o.declared.Name), closed, version)
 	}
 }
 
-// Handover stops ordering in good order, so that the next orderer need doubt
-// nothing.
+// Handover stops ordering and closes this orderer's claims in the record, so that the next orderer
+// finds no doubtful claims other than those of unanswered orders.
 func (o *Orderer) Handover(ctx context.Context) error {
-	if err := o.take(ctx); err != nil {
+	if err := o.lock(ctx); err != nil {
 		return err
 	}
-	defer o.give()
+	defer o.unlock()
 	if !o.active.Swap(false) {
 		return nil
 	}
@@ -228,9 +229,9 @@
 	if err := o.writeRecord(ctx, o.record.Handover(o.isUnresolved)); err != nil {
 		return err
 	}
-	o.published.Orderer = ""
-	o.published.Version++
-	o.env.Tables.Engines.MergeResidency([]table.Residency{o.published})
-	o.event(event.KindHandover, "", "epoch="+formatEpoch(o.record.Epoch))
+	o.publishedResidency.Orderer = ""
+	o.publishedResidency.Version++
+	o.env.Tables.Engines.MergeResidency([]table.Residency{o.publishedResidency})
+	o.recordEvent(event.KindHandover, "", "epoch="+formatEpoch(o.record.Epoch))
 	return nil
 }
--- a/command/orderer/identity.go
+++ b/command/orderer/identity.go
@@ -6,10 +6,10 @@
 	"github.com/martenport/martenport/table"
 )
 
-// identitySeparator stands between name and incarnation; names cannot have it.
+// identitySeparator separates the name from the incarnation; it cannot occur in a name.
 const identitySeparator = "#"
 
-// Identity names one start of an instance, as kept in engine records.
+// Identity returns the name and incarnation of an instance, as stored in engine records.
 func Identity(m table.Member) string {
 	return m.Name + identitySeparator + formatIncarnation(m)
 }
--- a/command/orderer/lost.go
+++ b/command/orderer/lost.go
@@ -9,15 +9,15 @@
 	"github.com/martenport/martenport/store"
 )
 
-// freeLost frees the slots of an engine that operators declared lost: their
-// word that it is off takes the place of the proof that nothing can arrive.
-// What fails is tried again at the next tick.
-func (m *Manager) freeLost(ctx context.Context, engine string) {
+// freeLostSlots frees the slots of an engine that operators declared lost. That declaration
+// replaces the confirmation that no order can arrive at the engine any more. A failure is retried
+// at the next tick.
+func (m *Manager) freeLostSlots(ctx context.Context, engine string) {
 	generation := m.env.Tables.Config.Index().Generation
-	err := eachSlots(ctx, m.env.Store, func(obj store.Object, slots placement.ModelSlots) error {
+	err := forEachModelSlots(ctx, m.env.Store, func(obj store.Object, slots placement.ModelSlots) error {
 		next, err := slots.Release(engine, math.MaxUint64)
 		if err != nil {
-			return nil // none of its slots
+			return nil // the engine holds no slot of this model
 		}
 		if _, err := store.WriteJSON(ctx, m.env.Store, obj.Key, next, obj.Version); err != nil {
 			return err
@@ -30,5 +30,5 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.freed[engine] = generation
+	m.freedAtGeneration[engine] = generation
 }
--- a/command/orderer/manager.go
+++ b/command/orderer/manager.go
@@ -17,70 +17,72 @@
 	"github.com/martenport/martenport/table"
 )
 
-// Params set the manager's rhythm.
+// Params are the settings of a Manager.
 type Params struct {
-	// Tick is how often engines without a live orderer are looked for and the
-	// own ones are tidied.
+	// Tick is the interval at which the manager looks for engines without a live orderer and
+	// reconciles its own.
 	Tick time.Duration
-	// Settle is how long after the start no engine is taken over, so that the
-	// instances have heard of each other.
+	// Settle is the time after the start during which no engine is taken over, so that the
+	// instances can discover each other first.
 	Settle time.Duration
-	// Workers is how many engines are worked on at once.
+	// Workers is the number of engines that are processed concurrently.
 	Workers int
 }
 
-// Manager runs the orderers of one instance: it takes over engines of its own
-// failure domain that have no live orderer, polls and tidies those it orders.
+// Manager runs the orderers of one instance. It takes over engines of its own failure domain that
+// have no live orderer, and polls and reconciles the engines that it orders.
 //
-// Rendezvous hashing over the instances thought alive says who should take
-// over. If views differ two may try; the record's epoch lets one through.
+// Rendezvous hashing over the instances believed alive selects the one that takes over. If their
+// views differ, two instances may try; the epoch in the engine's record lets only one of them
+// succeed.
 type Manager struct {
 	env    *Environment
 	params Params
 	dial   func(declaration.Engine) backend.Engine
 	work   chan string
 
-	mu       sync.Mutex
-	orderers map[string]*Orderer // guarded by mu; by engine
-	queued   map[string]bool     // guarded by mu; engines given to a worker
-	freed    map[string]int64    // guarded by mu; generation at which a lost engine's slots were freed
-	draining bool                // guarded by mu
-	ctx      context.Context     // guarded by mu; ends polling
-	polls    sync.WaitGroup
+	mu                sync.Mutex
+	orderers          map[string]*Orderer // guarded by mu; by engine
+	queued            map[string]bool     // guarded by mu; engines queued for or being processed by a worker
+	freedAtGeneration map[string]int64    // guarded by mu; generation at which a lost engine's slots were freed
+	draining          bool                // guarded by mu
+	pollCtx           context.Context     // guarded by mu; polling stops when it ends
+	polls             sync.WaitGroup
 }
 
-// NewManager returns a manager that reaches engines by dial.
+// NewManager returns a manager that connects to engines with dial.
 func NewManager(env *Environment, params Params, dial func(declaration.Engine) backend.Engine) *Manager {
 	return &Manager{
-		env: env, params: params, dial: dial, work: make(chan string, workBacklog),
-		orderers: map[string]*Orderer{}, queued: map[string]bool{}, freed: map[string]int64{}, ctx: context.Background(),
+		env: env, params: params, dial: dial, work: make(chan string, workQueueSize),
+		orderers: map[string]*Orderer{}, queued: map[string]bool{}, freedAtGeneration: map[string]int64{}, pollCtx: context.Background(),
 	}
 }
 
-// workBacklog bounds the engines waiting for a worker; the rest wait a tick.
-const workBacklog = 256
+// workQueueSize bounds the number of engines waiting for a worker. Engines that do not fit are
+// queued at a later tick.
+const workQueueSize = 256
 
-// Run works until ctx ends.
+// Run runs the manager until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	m.mu.Lock()
-	m.ctx = ctx
+	m.pollCtx = ctx
 	m.mu.Unlock()
 	var workers sync.WaitGroup
 	for range m.params.Workers {
 		workers.Go(func() { m.worker(ctx) })
 	}
 	if pause.For(ctx, m.params.Settle) {
-		m.loop(ctx)
+		m.enqueueLoop(ctx)
 	}
 	workers.Wait()
 	m.polls.Wait()
 }
 
-func (m *Manager) loop(ctx context.Context) {
+func (m *Manager) enqueueLoop(ctx context.Context) {
 	ticker := time.NewTicker(m.params.Tick)
 	defer ticker.Stop()
 	for {
-		m.enqueueDue()
+		m.enqueueAll()
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -89,16 +91,16 @@
 	}
 }
 
-// enqueueDue hands every engine that needs attention to the workers.
-func (m *Manager) enqueueDue() {
+// enqueueAll queues every engine that this instance has to process.
+func (m *Manager) enqueueAll() {
 	self := m.env.Tables.Members.Self()
 	index := m.env.Tables.Config.Index()
 	for _, e := range index.Engines {
-		if e.Lost && m.shouldFree(e.Name, index.Generation, self) {
+		if e.Lost && m.shouldFreeLost(e.Name, index.Generation, self) {
 			m.enqueue(e.Name)
 			continue
 		}
-		if !e.Lost && e.FailureDomain == self.FailureDomain && (m.orders(e.Name) || m.shouldTakeOver(e.Name, self)) {
+		if !e.Lost && e.FailureDomain == self.FailureDomain && (m.isOrderer(e.Name) || m.shouldTakeOver(e.Name, self)) {
 			m.enqueue(e.Name)
 		}
 	}
@@ -124,7 +126,7 @@
 	for {
 		select {
 		case engine := <-m.work:
-			m.attend(ctx, engine)
+			m.process(ctx, engine)
 			m.mu.Lock()
 			delete(m.queued, engine)
 			m.mu.Unlock()
@@ -134,36 +136,36 @@
 	}
 }
 
-// attend takes an engine over, tidies it, or lets it go.
-func (m *Manager) attend(ctx context.Context, engine string) {
+// process takes over, reconciles or hands over the engine, or frees the slots of a lost one.
+func (m *Manager) process(ctx context.Context, engine string) {
 	declared, found := m.env.Tables.Config.Index().Engines[engine]
 	o := m.Orderer(engine)
 	switch {
 	case o != nil && (!found || declared.Lost || declared.Address != o.declared.Address):
 		_ = o.Handover(ctx)
-		m.drop(engine)
+		m.removeOrderer(engine)
 	case o != nil:
-		o.tidy(ctx)
+		o.reconcile(ctx)
 	case found && !declared.Lost:
 		m.takeOver(ctx, *declared)
 	case found && declared.Lost:
-		m.freeLost(ctx, engine)
+		m.freeLostSlots(ctx, engine)
 	}
 }
 
-// shouldFree reports whether this instance is the one to free a lost engine's
-// slots and has not done so for this generation. The engine's own failure
-// domain may be gone, so any instance can be chosen.
-func (m *Manager) shouldFree(engine string, generation int64, self table.Member) bool {
+// shouldFreeLost reports whether this instance has been selected to free a lost engine's slots and
+// has not done so for this generation. Any live instance can be selected, since the whole failure
+// domain of the engine may be gone.
+func (m *Manager) shouldFreeLost(engine string, generation int64, self table.Member) bool {
 	m.mu.Lock()
-	done := m.freed[engine] == generation
+	done := m.freedAtGeneration[engine] == generation
 	m.mu.Unlock()
 	return !done && rendezvous.Choose(engine, table.Names(m.env.Tables.Members.Alive())) == self.Name
 }
 
 func (m *Manager) takeOver(ctx context.Context, declared declaration.Engine) {
 	engine := m.dial(declared)
-	if !answers(ctx, engine) || m.recordedAlive(ctx, declared.Name) {
+	if !responds(ctx, engine) || m.recordedOrdererAlive(ctx, declared.Name) {
 		return
 	}
 	o := newOrderer(m.env, declared, engine)
@@ -176,28 +178,28 @@
 		return
 	}
 	m.orderers[declared.Name] = o
-	m.polls.Go(func() { m.pollLoop(m.ctx, o) })
+	m.polls.Go(func() { m.pollLoop(m.pollCtx, o) })
 }
 
-// answers asks an engine for a report. One that does not answer is not taken
-// over: it would cost the platform writes at each tick and be of no use.
-func answers(ctx context.Context, e backend.Engine) bool {
+// responds reports whether the engine returns a report. An engine that does not is not taken over:
+// that would cost store writes at every tick without any benefit.
+func responds(ctx context.Context, e backend.Engine) bool {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	_, err := e.Report(ctx, 0)
 	return err == nil
 }
 
-// pollGap is the shortest pause between two reports of an engine, and the
-// pause after one that failed.
-const pollGap = 50 * time.Millisecond
+// minPollInterval is the pause between two polls of an engine. After a failed poll, the pause is
+// Params.Tick.
+const minPollInterval = 50 * time.Millisecond
 
 func (m *Manager) pollLoop(ctx context.Context, o *Orderer) {
-	after := o.sequence(ctx)
+	after := o.reportSequence(ctx)
 	for o.Active() && ctx.Err() == nil {
 		next, err := o.poll(ctx, after)
 		after = next
-		gap := pollGap
+		gap := minPollInterval
 		if err != nil {
 			gap = m.params.Tick
 		}
@@ -207,46 +209,47 @@
 	}
 }
 
-func (o *Orderer) sequence(ctx context.Context) uint64 {
-	if o.take(ctx) != nil {
+func (o *Orderer) reportSequence(ctx context.Context) uint64 {
+	if o.lock(ctx) != nil {
 		return 0
 	}
-	defer o.give()
+	defer o.unlock()
 	return o.report.Sequence
 }
 
-func (m *Manager) drop(engine string) {
+func (m *Manager) removeOrderer(engine string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.orderers, engine)
 }
 
-// shouldTakeOver reports whether the engine seems to lack a live orderer and
-// this instance is the one to step in.
+// shouldTakeOver reports whether the engine appears to have no live orderer and this instance is
+// the one selected to take over.
 func (m *Manager) shouldTakeOver(engine string, self table.Member) bool {
 	members := m.env.Tables.Members
 	if view, found := m.env.Tables.Engines.Get(engine); found && view.Orderer != "" && view.Orderer != self.Name {
-		if holder, known := members.Get(view.Orderer); known && holder.State != table.Dead {
+		if current, known := members.Get(view.Orderer); known && current.State != table.Dead {
 			return false
 		}
 	}
 	return rendezvous.Choose(engine, table.Names(members.AliveIn(self.FailureDomain))) == self.Name
 }
 
-// recordedAlive reads the engine's record and reports whether its orderer is
-// another start of an instance that is alive. It keeps instances that have
-// not heard of each other yet from taking engines back and forth.
-func (m *Manager) recordedAlive(ctx context.Context, engine string) bool {
+// recordedOrdererAlive reports whether the orderer in the engine's record is the current
+// incarnation of another instance that is not dead. It prevents instances that have not discovered
+// each other yet from taking engines over from each other repeatedly. It returns true if the record
+// cannot be read.
+func (m *Manager) recordedOrdererAlive(ctx context.Context, engine string) bool {
 	record, _, err := store.Read[placement.EngineRecord](ctx, m.env.Store, recordKey(engine))
 	if err != nil {
-		return true // without the platform there is no take-over anyway
+		return true // a take-over would fail as well, since it writes the record
 	}
 	name, incarnation, _ := strings.Cut(record.Orderer, identitySeparator)
 	member, known := m.env.Tables.Members.Get(name)
 	return known && name != m.env.Instance && member.State != table.Dead && formatIncarnation(member) == incarnation
 }
 
-// Orderer returns the active orderer of an engine here, or nil.
+// Orderer returns this instance's active orderer of the engine, or nil.
 func (m *Manager) Orderer(engine string) *Orderer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -258,16 +261,16 @@
 	return o
 }
 
-func (m *Manager) orders(engine string) bool { return m.Orderer(engine) != nil }
+func (m *Manager) isOrderer(engine string) bool { return m.Orderer(engine) != nil }
 
-// Ordered lists the engines that this instance orders.
+// Ordered returns the names of the engines that this instance orders.
 func (m *Manager) Ordered() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.orderers))
 }
 
-// Drain hands all engines over and takes no more.
+// Drain hands over all engines and prevents further take-overs.
 func (m *Manager) Drain(ctx context.Context) {
 	m.mu.Lock()
 	m.draining = true
--- a/command/orderer/orderer.go
+++ b/command/orderer/orderer.go
@@ -1,19 +1,19 @@
-// Package orderer sends engines their orders. Each engine has one orderer: an
-// instance of the engine's own failure domain, recorded in the platform with
-// an epoch, the fencing number. The orderer keeps the engine's memory ledger,
-// holds its slots, and polls its reports for everyone else.
+// Package orderer sends load and unload orders to engines. Each engine has one orderer: an instance
+// in the engine's own failure domain, recorded in the platform together with an epoch, which serves
+// as the fencing token. The orderer keeps the engine's memory ledger, holds its slots, and polls
+// its reports on behalf of all instances.
 //
-// The rule behind everything here: whatever could still arrive at the engine
-// is counted before it may be sent, and stays counted until it is proved that
-// it cannot arrive any more. An order whose answer was lost is such a thing,
-// and so is every order of an earlier orderer, which may be only paused.
+// The invariant of this package: an order that could still arrive at the engine is counted before
+// it may be sent, and remains counted until it is certain that it cannot arrive any more. This
+// applies to orders that were not answered, and to every order of an earlier orderer, which may
+// merely be paused.
 //
-//   - An engine that honours fencing proves it itself: take-over fences the
-//     engine at the new epoch before anything is decided, and a lost answer
-//     ends the orderer's own epoch in the same way.
-//   - On an engine that ignores fencing each load is first written into the
-//     engine's record as a claim, sent once, and struck out only after the
-//     engine reported the order, or the orderer that wrote it withdrew it.
+//   - For an engine that supports fencing, the engine ensures this itself: a take-over fences the
+//     engine at the new epoch before any decision is made, and an orderer whose order was not
+//     answered moves to a new epoch in the same way.
+//   - For an engine without fencing support, each load is first written into the engine's record as
+//     a claim and is sent once. The claim is removed only after the engine reported the order as
+//     received, or the orderer that wrote the claim closed it.
 package orderer
 
 import (
@@ -33,95 +33,99 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// Errors of an orderer.
+// Errors returned by Orderer.
 var (
-	// ErrNotOrderer: this instance does not order the engine, or not any more.
+	// ErrNotOrderer is returned when this instance is not, or is no longer, the orderer of the
+	// engine.
 	ErrNotOrderer = errors.New("orderer: not the orderer of this engine")
-	// ErrInUse: the model serves requests and is not unloaded for others.
+	// ErrInUse is returned when the model is in use and therefore is not unloaded to free its slot.
 	ErrInUse = errors.New("orderer: model is in use")
 )
 
-// Environment is what all orderers of an instance share.
+// Environment is the state shared by all orderers of an instance.
 type Environment struct {
-	// Instance is the instance's name, Identity its name and incarnation.
+	// Instance is the name of the instance, and Identity its name and incarnation.
 	Instance string
 	Identity string
 	Store    store.Store
 	Tables   *table.Tables
 	Events   *event.Recorder
-	// Policy decides what is unloaded, and when.
+	// Policy decides which units are unloaded, and when.
 	Policy placement.Policy
 }
 
-// Orderer orders one engine.
+// Orderer sends the orders to one engine.
 type Orderer struct {
 	env    *Environment
 	engine backend.Engine
-	// declared is the engine as the operators declared it at take-over.
+	// declared is the engine's declaration at the time of the take-over.
 	declared declaration.Engine
 
-	// turn is held by whoever changes the fields below or sends an order, so
-	// that there is one order in flight for the engine.
-	turn chan struct{}
+	// mutex is a lock that can be waited for under a context. It must be held to access the fields
+	// below or to send an order, so that at most one order is in flight for the engine.
+	mutex chan struct{}
 
-	record  placement.EngineRecord // guarded by turn
-	version store.Revision         // guarded by turn; of the record's object
-	ledger  *placement.Ledger      // guarded by turn
-	report  backend.Report         // guarded by turn; the newest
-	// incarnation of the engine, and those it had before; guarded by turn.
-	incarnation string
-	past        map[string]bool
-	// fenced says that this incarnation of the engine refuses older epochs;
-	// guarded by turn.
+	record         placement.EngineRecord // guarded by mutex
+	recordRevision store.Revision         // guarded by mutex; store revision of record
+	ledger         *placement.Ledger      // guarded by mutex
+	report         backend.Report         // guarded by mutex; latest report
+	// incarnation is the engine's current incarnation, and pastIncarnations are the earlier ones
+	// that this orderer has seen; both are guarded by mutex.
+	incarnation      string
+	pastIncarnations map[string]bool
+	// fenced means that the current incarnation of the engine rejects older epochs; guarded by
+	// mutex.
 	fenced bool
 
-	held       map[string]bool           // guarded by turn; models whose slot names this epoch
-	unresolved map[string]backend.Order  // guarded by turn; by id, orders to load sent without an answer
-	roleOrder  sentRole                  // guarded by turn; the last one
-	published  table.Residency           // guarded by turn
-	loads      uint64                    // guarded by turn; version of published load figures
-	loadAt     time.Time                 // guarded by turn; of the last publication of load figures
-	misses     int                       // guarded by turn; reports that failed in a row
-	history    *placement.UsageHistories // guarded by turn
+	heldSlots          map[string]bool           // guarded by mutex; models whose slot is bound under the current epoch
+	unresolved         map[string]backend.Order  // guarded by mutex; load orders that were sent but not answered, by ID
+	lastRoleOrder      acceptedRoleOrder         // guarded by mutex; last role order that the engine accepted
+	publishedResidency table.Residency           // guarded by mutex
+	loadVersion        uint64                    // guarded by mutex; version of the published load
+	loadPublishedAt    time.Time                 // guarded by mutex; time of the last publication of the load
+	failedReports      int                       // guarded by mutex; consecutive polls that failed
+	history            *placement.UsageHistories // guarded by mutex
 
 	active  atomic.Bool
 	changed *broadcast
 }
 
-// newOrderer returns an orderer that orders nothing before Takeover.
+// newOrderer returns an orderer that is inactive until Takeover succeeds.
 func newOrderer(env *Environment, declared declaration.Engine, engine backend.Engine) *Orderer {
 	return &Orderer{
 		env: env, engine: engine, declared: declared,
-		turn:    make(chan struct{}, 1),
-		changed: newBroadcast(),
-		past:    map[string]bool{},
-		history: placement.NewUsageHistories(),
+		mutex:            make(chan struct{}, 1),
+		changed:          newBroadcast(),
+		pastIncarnations: map[string]bool{},
+		history:          placement.NewUsageHistories(),
 	}
 }
 
-// Active reports whether this instance believes that it orders the engine.
+// Active reports whether this instance believes that it is the orderer of the engine.
 func (o *Orderer) Active() bool { return o.active.Load() }
 
-func (o *Orderer) take(ctx context.Context) error {
+func (o *Orderer) lock(ctx context.Context) error {
 	select {
-	case o.turn <- struct{}{}:
+	case o.mutex <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return verdict.Refuse(verdict.ReasonDeadline, "engine %s is busy with another order", o.declared.Name)
 	}
 }
 
-func (o *Orderer) give() { <-o.turn }
+func (o *Orderer) unlock() { <-o.mutex }
 
-func (o *Orderer) event(kind event.Kind, model, detail string) {
+func (o *Orderer) recordEvent(kind event.Kind, model, detail string) {
 	o.env.Events.Record(event.Event{Kind: kind, Engine: o.declared.Name, Model: model, Detail: detail})
 }
 
-// Load makes the unit resident and returns once the engine reports it so.
+// Load makes the unit resident and returns once the engine reports it as such. It returns
+// ErrNotOrderer if this instance is not the orderer, and a refusal if the unit cannot be loaded or
+// ctx ends first.
 func (o *Orderer) Load(ctx context.Context, u backend.Unit, memory int64) error {
 	for {
 		changed := o.changed.wait()
-		done, err := o.advance(ctx, u, memory)
+		done, err := o.loadStep(ctx, u, memory)
 		if done || err != nil {
 			return err
 		}
@@ -133,36 +137,38 @@
 	}
 }
 
-// advance takes the next step towards having the unit resident.
-func (o *Orderer) advance(ctx context.Context, u backend.Unit, memory int64) (bool, error) {
-	if err := o.take(ctx); err != nil {
+// loadStep performs the next step towards making the unit resident and reports whether it is
+// resident.
+func (o *Orderer) loadStep(ctx context.Context, u backend.Unit, memory int64) (bool, error) {
+	if err := o.lock(ctx); err != nil {
 		return false, err
 	}
-	defer o.give()
+	defer o.unlock()
 	if !o.Active() {
 		return false, ErrNotOrderer
 	}
 	e, found := o.ledger.Entries[u.ID()]
 	switch {
-	case found && o.misses >= maxMissed:
+	case found && o.failedReports >= maxFailedReports:
 		return false, verdict.Refuse(verdict.ReasonNoReplica, "engine %s does not answer", o.declared.Name)
 	case !found:
-		return false, o.begin(ctx, u, memory)
+		return false, o.startLoad(ctx, u, memory)
 	case e.Unit.Version != u.Version && e.Phase == placement.Resident:
 		return false, o.unload(ctx, e.Unit)
 	case e.Phase == placement.Resident:
 		return true, nil
 	case e.Phase == placement.Doubtful && e.Unit == u:
-		return false, o.adopt(ctx, u, memory)
+		return false, o.reissueLoad(ctx, u, memory)
 	default:
 		return false, nil
 	}
 }
 
-// begin makes room, takes the slot, counts the unit and sends the order. When
-// room must be made first it only orders the unloads; the caller comes back.
-func (o *Orderer) begin(ctx context.Context, u backend.Unit, memory int64) error {
-	if o.report.Leaving || o.misses >= maxMissed {
+// startLoad makes room, binds the slot, reserves memory and sends the load order. If units have to
+// be unloaded first, it only orders the unloads; the caller tries again after the next change.
+// o.mutex must be held.
+func (o *Orderer) startLoad(ctx context.Context, u backend.Unit, memory int64) error {
+	if o.report.Leaving || o.failedReports >= maxFailedReports {
 		return verdict.Refuse(verdict.ReasonNoReplica, "engine %s is leaving or does not answer", o.declared.Name)
 	}
 	if err := o.ensureFenced(ctx); err != nil {
@@ -175,7 +181,7 @@
 	if !ready || err != nil {
 		return err
 	}
-	order, err := o.prepare(ctx, u, memory)
+	order, err := o.prepareLoad(ctx, u, memory)
 	if err != nil {
 		return err
 	}
@@ -185,24 +191,24 @@
 	return o.sendLoad(ctx, order)
 }
 
-// prepare takes the slot and writes the claim that an order to load needs.
-func (o *Orderer) prepare(ctx context.Context, u backend.Unit, memory int64) (backend.Order, error) {
+// prepareLoad binds the slot and writes the claim that a load order requires. o.mutex must be held.
+func (o *Orderer) prepareLoad(ctx context.Context, u backend.Unit, memory int64) (backend.Order, error) {
 	order := backend.Order{Unit: u, ID: uuid.NewString(), MemoryBytes: memory}
 	if u.Adapter == "" {
 		if err := o.ensureSlot(ctx, u.Model); err != nil {
 			return order, err
 		}
 	}
-	return order, o.claim(ctx, order)
+	return order, o.writeClaim(ctx, order)
 }
 
-// adopt orders again what an earlier orderer may or may not have ordered. The
-// same unit on the same engine is one replica however often it is ordered.
-func (o *Orderer) adopt(ctx context.Context, u backend.Unit, memory int64) error {
+// reissueLoad orders a unit again that an earlier orderer may have ordered. Repeated orders of the
+// same unit on the same engine result in one replica. o.mutex must be held.
+func (o *Orderer) reissueLoad(ctx context.Context, u backend.Unit, memory int64) error {
 	if o.ledger.Free() < 0 {
 		return verdict.Refuse(verdict.ReasonNoReplica, "doubtful claims on %s together pass its memory", o.declared.Name)
 	}
-	order, err := o.prepare(ctx, u, memory)
+	order, err := o.prepareLoad(ctx, u, memory)
 	if err != nil {
 		return err
 	}
@@ -212,12 +218,12 @@
 	return o.sendLoad(ctx, order)
 }
 
-// makeRoom reports whether memory bytes are free, and if not, orders unloads.
+// makeRoom reports whether memory bytes are free; if not, it orders unloads. o.mutex must be held.
 func (o *Orderer) makeRoom(ctx context.Context, u backend.Unit, memory int64) (bool, error) {
 	if memory <= o.ledger.Free() {
 		return true, nil
 	}
-	victims, err := o.env.Policy.Victims(o.ledger, u, memory, o.costs(), time.Now())
+	victims, err := o.env.Policy.Victims(o.ledger, u, memory, o.engineContext(), time.Now())
 	if err != nil {
 		return false, verdict.Refuse(verdict.ReasonNoReplica, "%s on %s: %v", u.ID(), o.declared.Name, err)
 	}
@@ -229,74 +235,77 @@
 	return false, nil
 }
 
-func (o *Orderer) costs() placement.EngineContext {
+func (o *Orderer) engineContext() placement.EngineContext {
 	return placement.EngineContext{Tiers: o.report.Tiers, Histories: o.history, Capacity: int64(o.declared.Memory)}
 }
 
-// sendLoad sends an order that is counted already.
+// sendLoad sends a load order for which the ledger already has an entry. o.mutex must be held.
 func (o *Orderer) sendLoad(ctx context.Context, order backend.Order) error {
-	o.event(event.KindLoadOrder, order.Unit.ID(), "epoch="+formatEpoch(o.record.Epoch)+" order="+order.ID)
+	o.recordEvent(event.KindLoadOrder, order.Unit.ID(), "epoch="+formatEpoch(o.record.Epoch)+" order="+order.ID)
 	err := o.send(ctx, order, o.engine.Load)
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, backend.ErrRefused):
 		o.ledger.Cancel(order.Unit.ID())
-		o.event(event.KindLoadFail, order.Unit.ID(), err.Error())
+		o.recordEvent(event.KindLoadFail, order.Unit.ID(), err.Error())
 		return verdict.Refuse(verdict.ReasonBackend, "engine %s: %v", o.declared.Name, err)
 	default:
 		return err
 	}
 }
 
-// unload orders the unit away; running requests finish first.
+// unload orders the engine to unload the unit; the engine lets running requests finish first.
+// o.mutex must be held.
 func (o *Orderer) unload(ctx context.Context, u backend.Unit) error {
 	order := backend.Order{Unit: u, ID: uuid.NewString()}
 	if err := o.ledger.StartUnload(u.ID(), order.ID); err != nil {
-		return nil // an order is under way already
+		return nil // an order for the unit is already outstanding
 	}
 	o.publish()
-	o.event(event.KindUnloadOrder, u.ID(), "epoch="+formatEpoch(o.record.Epoch)+" order="+order.ID)
+	o.recordEvent(event.KindUnloadOrder, u.ID(), "epoch="+formatEpoch(o.record.Epoch)+" order="+order.ID)
 	return o.send(ctx, order, o.engine.Unload)
 }
 
-// orderTimeout bounds one order's way to the engine and back. The order itself
-// is only accepted in that time, not carried out.
+// orderTimeout bounds the call that delivers one order. The engine only accepts the order within
+// that time; it carries the order out later.
 const orderTimeout = 3 * time.Second
 
-// send stamps and sends an order once. A lost answer leaves the order counted
-// and, on an engine that honours fencing, ends the epoch.
+// send adds the epoch and the engine's incarnation to the order and sends it once. If there is no
+// answer, a load order remains counted and, on an engine that supports fencing, the orderer moves
+// to a new epoch. o.mutex must be held.
 func (o *Orderer) send(ctx context.Context, order backend.Order, call func(context.Context, backend.Order) (backend.Ack, error)) error {
 	order.Epoch = o.record.Epoch
 	order.Incarnation = o.incarnation
-	// The order must not be cut off halfway because a waiter gave up.
+	// The call must not be aborted when the waiting request gives up.
 	ctx = context.WithoutCancel(ctx)
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	ack, err := call(callCtx, order)
 	switch {
 	case err == nil:
-		o.meet(ack.Incarnation)
+		o.observeIncarnation(ack.Incarnation)
 		o.ledger.Ack(order.Unit.ID(), ack.Incarnation)
 	case errors.Is(err, backend.ErrStaleEpoch):
-		o.supersede(ctx)
+		o.stopSuperseded(ctx)
 		return ErrNotOrderer
 	case errors.Is(err, backend.ErrUnknown):
 		if order.MemoryBytes > 0 {
 			o.unresolved[order.ID] = order
 		}
-		return o.refence(ctx)
+		return o.advanceEpoch(ctx)
 	}
 	return err
 }
 
-// refence makes a late arrival of an unanswered order impossible by moving to
-// the next epoch. Where that cannot be had now, the order stays counted.
-func (o *Orderer) refence(ctx context.Context) error {
+// advanceEpoch moves to the next epoch, so that an engine that supports fencing rejects an
+// unanswered order that arrives late. If this fails, the order remains counted. It returns only
+// ErrNotOrderer. o.mutex must be held.
+func (o *Orderer) advanceEpoch(ctx context.Context) error {
 	if !o.declared.Fencing {
 		return nil
 	}
-	err := o.install(ctx)
+	err := o.installEpoch(ctx)
 	if errors.Is(err, ErrNotOrderer) {
 		return err
 	}
@@ -306,12 +315,12 @@
 	return nil
 }
 
-// Yield gives up the slot of a model, so that another engine can have it. A
-// model that is idle is unloaded first.
+// Yield releases the slot of a model so that another engine can bind it. A model that is idle is
+// unloaded first; ErrInUse is returned if it is not idle.
 func (o *Orderer) Yield(ctx context.Context, model string) error {
 	for {
 		changed := o.changed.wait()
-		done, err := o.yield(ctx, model)
+		done, err := o.yieldStep(ctx, model)
 		if done || err != nil {
 			return err
 		}
@@ -323,11 +332,11 @@
 	}
 }
 
-func (o *Orderer) yield(ctx context.Context, model string) (bool, error) {
-	if err := o.take(ctx); err != nil {
+func (o *Orderer) yieldStep(ctx context.Context, model string) (bool, error) {
+	if err := o.lock(ctx); err != nil {
 		return false, err
 	}
-	defer o.give()
+	defer o.unlock()
 	if !o.Active() {
 		return false, ErrNotOrderer
 	}
--- a/command/orderer/report.go
+++ b/command/orderer/report.go
@@ -13,62 +13,65 @@
 	"github.com/martenport/martenport/table"
 )
 
-// loadGap is the shortest time between two publications of an engine's load.
-// Each goes to every instance of the failure domain; what changes faster is
-// known to each instance from its own requests.
-const loadGap = time.Second
+// minLoadInterval is the shortest time between two publications of an engine's load. Each of them
+// is sent to every instance of the failure domain; each instance knows faster changes from its own
+// requests.
+const minLoadInterval = time.Second
 
-// reportTimeout bounds one wait for a report.
+// reportTimeout bounds one call for a report.
 const reportTimeout = 3 * time.Second
 
-// poll waits for one report and takes it in.
+// poll waits for a report newer than sequence number after and applies it. It returns the sequence
+// number of the report, or after if the call failed.
 func (o *Orderer) poll(ctx context.Context, after uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	report, err := o.engine.Report(ctx, after)
 	if err != nil {
-		o.missed(ctx)
+		o.reportFailed(ctx)
 		return after, err
 	}
 	if report.Leaving && o.env.Tables.Engines.MarkLeaving(o.declared.Name) {
-		o.event(event.KindLeaving, "", "word of the engine")
+		o.recordEvent(event.KindLeaving, "", "word of the engine")
 	}
-	if err := o.take(ctx); err != nil {
+	if err := o.lock(ctx); err != nil {
 		return after, err
 	}
-	defer o.give()
+	defer o.unlock()
 	if o.Active() {
-		o.apply(report)
+		o.applyReport(report)
 	}
 	return report.Sequence, nil
 }
 
-// maxMissed is how many reports in a row fail before the engine counts as
+// maxFailedReports is the number of consecutive failed polls after which the engine counts as
 // unreachable.
-const maxMissed = 3
+const maxFailedReports = 3
 
-// missed notes that a report failed.
-func (o *Orderer) missed(ctx context.Context) {
-	if o.take(context.WithoutCancel(ctx)) != nil {
+// reportFailed records a failed poll and publishes the residency when the engine becomes
+// unreachable.
+func (o *Orderer) reportFailed(ctx context.Context) {
+	if o.lock(context.WithoutCancel(ctx)) != nil {
 		return
 	}
-	defer o.give()
-	o.misses++
-	if o.misses == maxMissed && o.Active() {
+	defer o.unlock()
+	o.failedReports++
+	if o.failedReports == maxFailedReports && o.Active() {
 		o.publish()
 	}
 }
 
-// apply brings the ledger, the history and the tables up to a report.
-func (o *Orderer) apply(report backend.Report) {
-	if o.past[report.Incarnation] {
-		return // it was made before the engine restarted
+// applyReport updates the ledger, the usage history and the tables from a report. o.mutex must be
+// held.
+func (o *Orderer) applyReport(report backend.Report) {
+	if o.pastIncarnations[report.Incarnation] {
+		return // from before the engine restarted
 	}
 	if report.Incarnation == o.report.Incarnation && report.Sequence < o.report.Sequence {
-		return // an older report that arrived late
+		return // an older report, delivered out of order
 	}
-	o.misses = 0
-	o.meet(report.Incarnation)
+	o.failedReports = 0
+	o.observeIncarnation(report.Incarnation)
 	before := o.phases()
 	o.report = report
 	o.ledger.ApplyReport(report, time.Now())
@@ -76,8 +79,8 @@
 	for _, id := range report.Orders {
 		delete(o.unresolved, id)
 	}
-	o.noteLoaded(before)
-	o.noteUse()
+	o.recordLoaded(before)
+	o.recordUse()
 	o.publish()
 	o.publishLoad(report)
 	o.changed.wake()
@@ -91,35 +94,35 @@
 	return out
 }
 
-func (o *Orderer) noteLoaded(before map[string]placement.Phase) {
+func (o *Orderer) recordLoaded(before map[string]placement.Phase) {
 	for id, e := range o.ledger.Entries {
-		was := before[id]
-		if e.Phase == placement.Resident && (was == placement.Ordered || was == placement.Loading) {
+		previous := before[id]
+		if e.Phase == placement.Resident && (previous == placement.Ordered || previous == placement.Loading) {
 			o.history.RecordReady(id, e.ReadyAt)
-			o.event(event.KindLoaded, id, "")
+			o.recordEvent(event.KindLoaded, id, "")
 		}
 	}
 }
 
-func (o *Orderer) noteUse() {
+func (o *Orderer) recordUse() {
 	for id, e := range o.ledger.Entries {
 		o.history.RecordUse(id, e.LastUsed)
 	}
 }
 
-// publish puts the engine's residency into the tables if it changed.
+// publish writes the engine's residency to the tables if it changed. o.mutex must be held.
 func (o *Orderer) publish() {
 	next := o.residency()
-	last := o.published
+	last := o.publishedResidency
 	last.Version = 0
 	if sameResidency(last, next) {
 		return
 	}
-	if o.published.Epoch == next.Epoch {
-		next.Version = o.published.Version
+	if o.publishedResidency.Epoch == next.Epoch {
+		next.Version = o.publishedResidency.Version
 	}
 	next.Version++
-	o.published = next
+	o.publishedResidency = next
 	o.env.Tables.Engines.MergeResidency([]table.Residency{next})
 }
 
@@ -127,8 +130,8 @@
 	r := table.Residency{
 		Engine: o.declared.Name, FailureDomain: o.declared.FailureDomain,
 		Orderer: o.env.Instance, Epoch: o.record.Epoch,
-		Held: slices.Sorted(maps.Keys(o.held)), Doubtful: o.doubtfulUnits(),
-		Leaving: o.report.Leaving, Unreachable: o.misses >= maxMissed, Incarnation: o.report.Incarnation,
+		Held: slices.Sorted(maps.Keys(o.heldSlots)), Doubtful: o.doubtfulUnits(),
+		Leaving: o.report.Leaving, Unreachable: o.failedReports >= maxFailedReports, Incarnation: o.report.Incarnation,
 		MemoryBytes: int64(o.declared.Memory), UsedBytes: o.ledger.Used(),
 		Cached: maps.Clone(o.report.Tiers),
 	}
@@ -172,18 +175,18 @@
 func (o *Orderer) publishLoad(r backend.Report) {
 	known, _ := o.env.Tables.Engines.Get(o.declared.Name)
 	same := known.Load.Queue == r.Queue && known.Load.Running == r.Running && known.Load.Epoch == o.record.Epoch
-	if same || time.Since(o.loadAt) < loadGap {
+	if same || time.Since(o.loadPublishedAt) < minLoadInterval {
 		return
 	}
-	o.loadAt = time.Now()
-	o.loads++
+	o.loadPublishedAt = time.Now()
+	o.loadVersion++
 	o.env.Tables.Engines.MergeLoad([]table.Load{{
-		Engine: o.declared.Name, Epoch: o.record.Epoch, Version: o.loads,
+		Engine: o.declared.Name, Epoch: o.record.Epoch, Version: o.loadVersion,
 		Queue: r.Queue, Running: r.Running,
 	}})
 }
 
-// broadcast wakes all who wait for the next change.
+// broadcast wakes all goroutines that wait for the next change.
 type broadcast struct {
 	mu sync.Mutex
 	ch chan struct{} // guarded by mu
--- a/command/orderer/history_faults_test.go
+++ b/command/orderer/simulation_faults_test.go
@@ -10,10 +10,10 @@
 	"github.com/martenport/martenport/store"
 )
 
-// faultyEngine is an engine as one instance reaches it.
+// faultyEngine is an engine behind a faulty connection, as seen by one instance.
 type faultyEngine struct {
 	backend.Engine
-	w *world
+	w *simulation
 }
 
 func (e faultyEngine) Load(ctx context.Context, o backend.Order) (backend.Ack, error) {
@@ -49,7 +49,7 @@
 	got := make(chan answer, 1)
 	answered := e.w.deliver(ctx, func() {
 		ack, err := call()
-		e.w.check()
+		e.w.checkLimits()
 		got <- answer{ack, err}
 	})
 	if !answered {
@@ -59,46 +59,46 @@
 	return a.ack, a.err
 }
 
-// faultyStore is the platform as one instance reaches it.
+// faultyStore is the store behind a faulty connection, as seen by one instance.
 type faultyStore struct {
 	*standin.Platform
-	w *world
+	w *simulation
 
-	mu   sync.Mutex
-	away time.Time // guarded by mu; end of this instance's outage
+	mu        sync.Mutex
+	outageEnd time.Time // guarded by mu; end of this instance's current outage
 }
 
-func (s *faultyStore) cut() bool {
+func (s *faultyStore) unreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.w.chance(s.w.faults.outage) {
-		s.away = time.Now().Add(time.Duration(1+s.w.intN(3600)) * time.Second)
+	if s.w.chance(s.w.faults.storeOutage) {
+		s.outageEnd = time.Now().Add(time.Duration(1+s.w.intN(3600)) * time.Second)
 	}
-	return time.Now().Before(s.away)
+	return time.Now().Before(s.outageEnd)
 }
 
 func (s *faultyStore) Get(ctx context.Context, key string) (store.Object, error) {
-	if s.cut() {
+	if s.unreachable() {
 		return store.Object{}, store.ErrUnavailable
 	}
 	return s.Platform.Get(ctx, key)
 }
 
 func (s *faultyStore) List(ctx context.Context, prefix string) (store.Snapshot, error) {
-	if s.cut() {
+	if s.unreachable() {
 		return store.Snapshot{}, store.ErrUnavailable
 	}
 	return s.Platform.List(ctx, prefix)
 }
 
-// writeLimit is how long an instance waits for the answer to a write.
-const writeLimit = 2 * time.Second
+// writeTimeout is how long an instance waits for the answer to a write.
+const writeTimeout = 2 * time.Second
 
 func (s *faultyStore) Put(ctx context.Context, key string, value []byte, version store.Revision) (store.Object, error) {
-	if s.cut() {
+	if s.unreachable() {
 		return store.Object{}, store.ErrUnavailable
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeLimit)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	type answer struct {
 		obj store.Object
--- a/command/orderer/history_test.go
+++ b/command/orderer/simulation_test.go
@@ -21,28 +21,28 @@
 	"github.com/martenport/martenport/table"
 )
 
-// faults is the mix of a run: chances for each call, from 0 to 1.
+// faults are the probabilities, from 0 to 1, of each kind of fault per call or per action.
 type faults struct {
-	// late: an order reaches the engine long after its sender gave up, or the
-	// platform carries a write out long after.
-	late float64
-	// pause: the sender is paused between its decision and the call.
-	pause float64
-	// lost: the call takes effect and its answer is lost.
-	lost float64
-	// outage: the instance cannot reach the platform for a while.
-	outage float64
-	// restart: an engine is reclaimed and comes back empty.
-	restart float64
-	// died: an instance is replaced, its orders in flight going on.
-	died float64
+	// delayed: an order reaches the engine, or a write takes effect in the store, long after the
+	// sender gave up waiting.
+	delayed float64
+	// senderPaused: the sender is paused between its decision and the call.
+	senderPaused float64
+	// answerLost: the call takes effect, but its answer is lost.
+	answerLost float64
+	// storeOutage: the instance cannot reach the store for some time.
+	storeOutage float64
+	// engineRestart: an engine is restarted and comes back empty.
+	engineRestart float64
+	// instanceReplaced: an instance is replaced while its orders are still in flight.
+	instanceReplaced float64
 }
 
 const gib = int64(1) << 30
 
-// world is engines, platform, and instances that all believe they should order
-// every engine: the views of a fleet at its worst.
-type world struct {
+// simulation consists of engines, a store, and instances that all believe that they should order
+// every engine: the worst case of diverging membership views.
+type simulation struct {
 	t       *testing.T
 	faults  faults
 	fencing bool
@@ -52,29 +52,29 @@
 	models   map[string]declaration.Model
 	events   *event.Recorder
 
-	steps atomic.Int64 // random actions taken
+	steps atomic.Int64 // number of random actions taken
 
 	mu  sync.Mutex
 	rng *rand.Rand // guarded by mu
 }
 
-func (w *world) chance(p float64) bool {
+func (w *simulation) chance(p float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.Float64() < p
 }
 
-func (w *world) intN(n int) int {
+func (w *simulation) intN(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.IntN(n)
 }
 
-// check looks at all engines for more replicas than the cap, or too little
-// memory. It runs after each order that reached an engine.
-func (w *world) check() {
+// checkLimits reports an error if a model has more replicas than its cap allows or an engine's
+// memory is overcommitted. It runs after each order that reached an engine.
+func (w *simulation) checkLimits() {
 	if w.t.Failed() {
-		return // the first breach is the one to look at
+		return // report only the first violation
 	}
 	replicas := map[string]int{}
 	for name, e := range w.engines {
@@ -92,8 +92,8 @@
 	}
 }
 
-// trace returns the newest events of all instances.
-func (w *world) trace(f event.Filter) string {
+// trace returns the latest events of all instances that match f.
+func (w *simulation) trace(f event.Filter) string {
 	var b strings.Builder
 	for _, e := range w.events.Select(f) {
 		fmt.Fprintf(&b, "%s %s %s model=%s %s\n", time.Unix(0, e.Stamp.Wall).Format("04:05.000"), e.Kind, e.Engine, e.Model, e.Detail)
@@ -101,13 +101,13 @@
 	return b.String()
 }
 
-// deliver carries a call out under the world's faults. It returns false when
-// the caller gets no answer.
-func (w *world) deliver(ctx context.Context, call func()) bool {
-	if w.chance(w.faults.pause) {
+// deliver makes a call subject to the simulated faults. It returns false when the caller gets no
+// answer.
+func (w *simulation) deliver(ctx context.Context, call func()) bool {
+	if w.chance(w.faults.senderPaused) {
 		time.Sleep(time.Duration(1+w.intN(120)) * time.Second)
 	}
-	if w.chance(w.faults.late) {
+	if w.chance(w.faults.delayed) {
 		go func() {
 			time.Sleep(time.Duration(1+w.intN(120)) * time.Second)
 			call()
@@ -117,11 +117,11 @@
 	}
 	time.Sleep(time.Duration(1+w.intN(20)) * time.Millisecond)
 	call()
-	return !w.chance(w.faults.lost)
+	return !w.chance(w.faults.answerLost)
 }
 
-// tables returns the tables of one instance with the world's declaration.
-func (w *world) tables(name string) *table.Tables {
+// tables returns the tables of one instance with the declaration of the simulation.
+func (w *simulation) tables(name string) *table.Tables {
 	t := table.New(table.Member{Name: name, FailureDomain: "a", Incarnation: 1})
 	accepted := &table.Accepted{Generation: 1, PlanID: "p"}
 	if err := accepted.SetSource([]byte(w.yaml())); err != nil {
@@ -134,7 +134,7 @@
 	return t
 }
 
-func (w *world) yaml() string {
+func (w *simulation) yaml() string {
 	var b strings.Builder
 	b.WriteString("failureDomains: [a]\ntailWeight: 0.5\nweightStore: {startsPerSecond: 3, streams: 4}\nengines:\n")
 	for name := range w.engines {
@@ -147,9 +147,10 @@
 	return b.String()
 }
 
-// newWorld has three engines that fit two of five models each.
-func newWorld(t *testing.T, seed uint64, fencing bool, f faults) *world {
-	w := &world{
+// newSimulation returns a simulation with five models and three engines, each of which has memory
+// for two models.
+func newSimulation(t *testing.T, seed uint64, fencing bool, f faults) *simulation {
+	w := &simulation{
 		t: t, faults: f, fencing: fencing, platform: standin.NewPlatform(),
 		engines: map[string]*standin.Engine{}, models: map[string]declaration.Model{},
 		rng: rand.New(rand.NewPCG(seed, 1)), events: event.NewRecorder("world", &event.Clock{}, 4096, nil),
@@ -167,30 +168,31 @@
 	return w
 }
 
-// instance is one instance's orderers, which it starts anew when replaced.
+// instance runs the orderers of one instance, and starts new ones when the instance is replaced.
 type instance struct {
-	w    *world
+	w    *simulation
 	name string
 }
 
-// run orders at random until the time is up.
-func (i instance) run(ctx context.Context, stop time.Time, start int) {
+// runUntil performs random actions until stop, starting a new incarnation whenever the instance is
+// replaced.
+func (i instance) runUntil(ctx context.Context, stop time.Time, start int) {
 	policy := placement.DefaultPolicy()
 	policy.MinIdle, policy.MaxKeepAlive = time.Second, 20*time.Second
-	for life := start; time.Now().Before(stop); life++ {
+	for incarnation := start; time.Now().Before(stop); incarnation++ {
 		env := &Environment{
-			Instance: i.name, Identity: fmt.Sprintf("%s#%d", i.name, life),
+			Instance: i.name, Identity: fmt.Sprintf("%s#%d", i.name, incarnation),
 			Store: &faultyStore{Platform: i.w.platform, w: i.w}, Tables: i.w.tables(i.name),
 			Events: i.w.events, Policy: policy,
 		}
-		i.live(ctx, env, stop)
+		i.runIncarnation(ctx, env, stop)
 	}
 }
 
-// live is one start of the instance, until it dies or the time is up.
-func (i instance) live(ctx context.Context, env *Environment, stop time.Time) {
-	ctx, die := context.WithCancel(ctx)
-	defer die()
+// runIncarnation runs one incarnation of the instance until it is replaced or stop is reached.
+func (i instance) runIncarnation(ctx context.Context, env *Environment, stop time.Time) {
+	ctx, stopInstance := context.WithCancel(ctx)
+	defer stopInstance()
 	var loops sync.WaitGroup
 	orderers := map[string]*Orderer{}
 	for name, e := range i.w.engines {
@@ -199,10 +201,10 @@
 		orderers[name] = o
 		loops.Go(func() { i.poll(ctx, o) })
 	}
-	for time.Now().Before(stop) && !i.w.chance(i.w.faults.died) {
-		i.act(ctx, orderers)
+	for time.Now().Before(stop) && !i.w.chance(i.w.faults.instanceReplaced) {
+		i.randomAction(ctx, orderers)
 	}
-	die()
+	stopInstance()
 	loops.Wait()
 }
 
@@ -215,8 +217,8 @@
 	}
 }
 
-// act does one random thing.
-func (i instance) act(ctx context.Context, orderers map[string]*Orderer) {
+// randomAction performs one randomly chosen action on a random engine.
+func (i instance) randomAction(ctx context.Context, orderers map[string]*Orderer) {
 	i.w.steps.Add(1)
 	name := []string{"e1", "e2", "e3"}[i.w.intN(3)]
 	model := "m" + strconv.Itoa(1+i.w.intN(5))
@@ -233,41 +235,41 @@
 	case roll < 16:
 		_ = o.Yield(ctx, model)
 	case roll < 18:
-		o.tidy(ctx)
+		o.reconcile(ctx)
 	case roll < 19:
 		_ = o.Handover(ctx)
 	}
-	if i.w.chance(i.w.faults.restart) {
+	if i.w.chance(i.w.faults.engineRestart) {
 		i.w.events.Record(event.Event{Kind: "restart", Engine: name})
 		i.w.engines[name].Restart()
 	}
 	time.Sleep(time.Duration(i.w.intN(500)) * time.Millisecond)
 }
 
-// runHistory runs a world for a virtual time and returns the loads it made and
-// the random actions it took.
-func runHistory(t *testing.T, seed uint64, fencing bool, f faults, virtual time.Duration) (loads, steps int) {
+// runSimulation runs a simulation for a virtual duration and returns the number of loads that
+// engines carried out and of random actions.
+func runSimulation(t *testing.T, seed uint64, fencing bool, f faults, virtual time.Duration) (loads, steps int) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, seed, fencing, f)
+		w := newSimulation(t, seed, fencing, f)
 		stop := time.Now().Add(virtual)
 		var all sync.WaitGroup
 		for n := range 3 {
-			all.Go(func() { instance{w, fmt.Sprintf("i%d", n)}.run(t.Context(), stop, 0) })
+			all.Go(func() { instance{w, fmt.Sprintf("i%d", n)}.runUntil(t.Context(), stop, 0) })
 		}
 		all.Wait()
-		time.Sleep(5 * time.Minute) // for what is still under way
-		w.check()
+		time.Sleep(5 * time.Minute) // lets calls in flight finish
+		w.checkLimits()
 		for _, e := range w.engines {
 			loads += e.Tally().Loads
-			e.Restart() // ends its loads
+			e.Restart() // aborts its loads
 		}
 		steps = int(w.steps.Load())
 	})
 	return loads, steps
 }
 
-// seedOf returns the first seed: fixed in CI, set by MARTENPORT_SEED by hand.
-func seedOf(t *testing.T) uint64 {
+// firstSeed returns the first seed: 1, or the value of MARTENPORT_SEED.
+func firstSeed(t *testing.T) uint64 {
 	text, set := os.LookupEnv("MARTENPORT_SEED")
 	if !set {
 		return 1
@@ -279,8 +281,8 @@
 	return seed
 }
 
-// rounds is how many seeds each mix of faults is run with: few in CI, more by
-// hand with MARTENPORT_ROUNDS.
+// rounds returns the number of seeds to run each mix of faults with: 3, or the value of
+// MARTENPORT_ROUNDS.
 func rounds(t *testing.T) int {
 	text, set := os.LookupEnv("MARTENPORT_ROUNDS")
 	if !set {
@@ -293,23 +295,23 @@
 	return n
 }
 
-// TestHistories: no cap and no memory is ever passed, with each fault alone
-// and in the pairs that matter, on engines that honour fencing and on those
-// that ignore it.
-func TestHistories(t *testing.T) {
+// TestLimitsHoldUnderFaults guards against exceeding the cap of a model or the memory of an engine
+// when calls, instances and engines fail. It runs random actions with each kind of fault alone, in
+// combinations and with all of them, on engines with and without fencing support.
+func TestLimitsHoldUnderFaults(t *testing.T) {
 	mixes := map[string]faults{
 		"none":              {},
-		"late":              {late: 0.05},
-		"paused":            {pause: 0.05},
-		"lost":              {lost: 0.1},
-		"outage":            {outage: 0.005},
-		"restart":           {restart: 0.02},
-		"died":              {died: 0.02},
-		"paused and died":   {pause: 0.05, died: 0.02},
-		"late and lost":     {late: 0.05, lost: 0.05},
-		"late and restart":  {late: 0.05, restart: 0.02},
-		"outage and paused": {outage: 0.005, pause: 0.05},
-		"all":               {late: 0.03, pause: 0.03, lost: 0.05, outage: 0.002, restart: 0.01, died: 0.01},
+		"late":              {delayed: 0.05},
+		"paused":            {senderPaused: 0.05},
+		"lost":              {answerLost: 0.1},
+		"outage":            {storeOutage: 0.005},
+		"restart":           {engineRestart: 0.02},
+		"died":              {instanceReplaced: 0.02},
+		"paused and died":   {senderPaused: 0.05, instanceReplaced: 0.02},
+		"late and lost":     {delayed: 0.05, answerLost: 0.05},
+		"late and restart":  {delayed: 0.05, engineRestart: 0.02},
+		"outage and paused": {storeOutage: 0.005, senderPaused: 0.05},
+		"all":               {delayed: 0.03, senderPaused: 0.03, answerLost: 0.05, storeOutage: 0.002, engineRestart: 0.01, instanceReplaced: 0.01},
 	}
 	for name, mix := range mixes {
 		for _, fencing := range []bool{true, false} {
@@ -317,11 +319,11 @@
 				t.Parallel()
 				loads, steps := 0, 0
 				for round := range rounds(t) {
-					l, s := runHistory(t, seedOf(t)+uint64(round), fencing, mix, 20*time.Minute)
+					l, s := runSimulation(t, firstSeed(t)+uint64(round), fencing, mix, 20*time.Minute)
 					loads, steps = loads+l, steps+s
 				}
 				if loads == 0 {
-					t.Error("nothing was loaded, so nothing was tested")
+					t.Error("no loads took place, so the limits were not exercised")
 				}
 				t.Logf("loads=%d steps=%d", loads, steps)
 			})
--- a/command/orderer/slots.go
+++ b/command/orderer/slots.go
@@ -12,13 +12,12 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// slotTries bounds repeats of a slot write that met another's.
-const slotTries = 4
+// maxSlotWrites bounds the attempts to write the slots of a model when writes conflict.
+const maxSlotWrites = 4
 
 func slotsKey(model string) string { return store.PrefixSlots + model }
 
-// platformFailure turns an error of the platform into a refusal: nothing was
-// sent to the engine.
+// platformFailure converts a store error into a refusal: nothing was sent to the engine.
 func platformFailure(err error) error {
 	if errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown) {
 		return verdict.Refuse(verdict.ReasonPlatform, "%v", err)
@@ -26,10 +25,10 @@
 	return err
 }
 
-// ensureSlot has the model's slot bound to this engine under this epoch. It
-// makes no call when it is so already.
+// ensureSlot binds a slot of the model to this engine under the current epoch. It makes no call if
+// the slot is already bound. o.mutex must be held.
 func (o *Orderer) ensureSlot(ctx context.Context, model string) error {
-	if o.held[model] {
+	if o.heldSlots[model] {
 		return nil
 	}
 	err := o.changeSlots(ctx, model, func(m placement.ModelSlots) (placement.ModelSlots, error) {
@@ -38,16 +37,16 @@
 	if err != nil {
 		return platformFailure(err)
 	}
-	o.held[model] = true
-	o.event(event.KindSlotBind, model, "epoch="+formatEpoch(o.record.Epoch))
+	o.heldSlots[model] = true
+	o.recordEvent(event.KindSlotBind, model, "epoch="+formatEpoch(o.record.Epoch))
 	return nil
 }
 
-// releaseSlot frees the model's slot. The model is not in the ledger, so that
-// the engine neither holds it nor can get it. From here on the slot counts as
-// gone, also when the answer to the write is lost.
+// releaseSlot frees the model's slot. The model must not be in the ledger, so that the engine
+// neither holds it nor can still receive an order for it. The slot counts as released from the
+// start of the call, even if the answer to the write is lost. o.mutex must be held.
 func (o *Orderer) releaseSlot(ctx context.Context, model string) error {
-	delete(o.held, model)
+	delete(o.heldSlots, model)
 	err := o.changeSlots(ctx, model, func(m placement.ModelSlots) (placement.ModelSlots, error) {
 		return m.Release(o.declared.Name, o.record.Epoch)
 	})
@@ -58,18 +57,19 @@
 		return platformFailure(err)
 	}
 	o.publish()
-	o.event(event.KindSlotRelease, model, "epoch="+formatEpoch(o.record.Epoch))
+	o.recordEvent(event.KindSlotRelease, model, "epoch="+formatEpoch(o.record.Epoch))
 	return nil
 }
 
-// changeSlots reads, sizes, changes and writes the slots of a model.
+// changeSlots reads the slots of a model, applies the declared cap and change, and writes the
+// result. A conflicting write is retried.
 func (o *Orderer) changeSlots(ctx context.Context, model string, change func(placement.ModelSlots) (placement.ModelSlots, error)) error {
-	for range slotTries {
+	for range maxSlotWrites {
 		slots, version, err := store.Read[placement.ModelSlots](ctx, o.env.Store, slotsKey(model))
 		if err != nil {
 			return err
 		}
-		next, err := change(o.sized(model, slots))
+		next, err := change(o.resized(model, slots))
 		if err != nil {
 			return err
 		}
@@ -81,8 +81,8 @@
 	return store.ErrConflict
 }
 
-// sized applies the declared cap, if the declaration here is not the older one.
-func (o *Orderer) sized(model string, slots placement.ModelSlots) placement.ModelSlots {
+// resized applies the declared cap, unless the slots were already sized by a newer declaration.
+func (o *Orderer) resized(model string, slots placement.ModelSlots) placement.ModelSlots {
 	index := o.env.Tables.Config.Index()
 	maxReplicas := 0
 	if m, found := index.Models[model]; found {
@@ -96,11 +96,11 @@
 	return sized
 }
 
-// adoptSlots takes over the slots that an earlier epoch left bound to this
-// engine, so that they can be used also when the platform is gone later. What
-// fails is tried again by tidy.
+// adoptSlots binds under the current epoch the slots that an earlier epoch left bound to this
+// engine, so that they can be used even if the platform becomes unavailable later. Failures are
+// retried by reconcile. o.mutex must be held.
 func (o *Orderer) adoptSlots(ctx context.Context) {
-	_ = eachSlots(ctx, o.env.Store, func(_ store.Object, slots placement.ModelSlots) error {
+	_ = forEachModelSlots(ctx, o.env.Store, func(_ store.Object, slots placement.ModelSlots) error {
 		if _, bound := slots.SlotOf(o.declared.Name); bound {
 			_ = o.ensureSlot(ctx, slots.Model)
 		}
@@ -108,9 +108,9 @@
 	})
 }
 
-// eachSlots calls f with the slots of every model until f fails. Values that
-// cannot be read are passed over.
-func eachSlots(ctx context.Context, s store.Store, f func(store.Object, placement.ModelSlots) error) error {
+// forEachModelSlots calls f with the slots of each model until f fails. It skips values that cannot
+// be decoded.
+func forEachModelSlots(ctx context.Context, s store.Store, f func(store.Object, placement.ModelSlots) error) error {
 	snap, err := s.List(ctx, store.PrefixSlots)
 	if err != nil {
 		return err
