--- a/command/orderer/manager.go
+++ b/command/orderer/manager.go
@@ -54,7 +54,8 @@
 func NewManager(env *Environment, params Params, dial func(declaration.Engine) backend.Engine) *Manager {
 	return &Manager{
 		env: env, params: params, dial: dial, work: make(chan string, workQueueSize),
-		orderers: map[string]*Orderer{}, queued: map[string]bool{}, freedAtGeneration: map[string]int64{}, pollCtx: context.Background(),
+		orderers: map[string]*Orderer{}, queued: map[string]bool{},
+		freedAtGeneration: map[string]int64{}, pollCtx: context.Background(),
 	}
 }
 
--- a/command/placement/history.go
+++ b/command/placement/history.go
@@ -117,7 +117,8 @@
 		return time.Duration(loadCost / idleCost * float64(time.Second))
 	}
 	cost := func(keep time.Duration) float64 {
-		sum := keepAliveCost(own, keep, idleCost, loadCost) + assumedGapWeight*keepAliveCost(assumedGaps, keep, idleCost, loadCost)
+		sum := keepAliveCost(own, keep, idleCost, loadCost) +
+			assumedGapWeight*keepAliveCost(assumedGaps, keep, idleCost, loadCost)
 		if len(h.pool) > 0 {
 			sum += keepAliveCost(h.pool, keep, idleCost, loadCost) * priorWeight / float64(len(h.pool))
 		}
--- a/command/wake/hold.go
+++ b/command/wake/coordinate.go
@@ -19,46 +19,48 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// hold tries to have the unit loaded, in rounds, for as long as somebody waits
-// and there is a prospect.
-func (w *Waker) hold(ctx context.Context, u backend.Unit, latest func() time.Time) (string, error) {
+// runWake tries to load the unit, repeatedly, for as long as somebody waits for it and the last
+// failure may recover.
+func (w *Waker) runWake(ctx context.Context, u backend.Unit, latest func() time.Time) (string, error) {
 	w.env.Events.Record(event.Event{Kind: event.KindWake, Model: u.ID(), Detail: "version=" + u.Version})
 	for {
 		_, changed := w.env.Tables.Engines.Mark()
-		engine, err := w.round(ctx, u, latest())
-		if err == nil || !w.prospect(u, err) {
+		engine, err := w.tryLoad(ctx, u, latest())
+		if err == nil || !w.mayRecover(u, err) {
 			return engine, err
 		}
-		if time.Until(latest()) < w.params.Round {
+		if time.Until(latest()) < w.params.RetryInterval {
 			return "", verdict.Of(err).After(w.params.RetryAfter)
 		}
-		if !awaitChange(ctx, changed, w.params.Round) {
+		if !awaitChange(ctx, changed, w.params.RetryInterval) {
 			return "", verdict.Refuse(verdict.ReasonDeadline, "nobody waits for %s any more", u.ID())
 		}
 	}
 }
 
-// grow loads one replica more than so many, on an engine that has none. It asks
-// once: what stands in the way of another replica is no reason to wait.
-func (w *Waker) grow(ctx context.Context, u backend.Unit, replicas int, latest time.Time) (string, error) {
-	var without []table.EngineView
-	have := 0
+// addReplica loads one more replica on an engine that has none, if there are no more than the given
+// number of replicas now. It makes one attempt only: what prevents an additional replica is no
+// reason to wait.
+func (w *Waker) addReplica(ctx context.Context, u backend.Unit, replicas int, latest time.Time) (string, error) {
+	var engines []table.EngineView
+	existing := 0
 	for _, e := range w.env.Tables.Engines.All() {
 		if _, found := e.Find(u.ID()); found {
-			have++
+			existing++
 		} else {
-			without = append(without, e)
+			engines = append(engines, e)
 		}
 	}
-	if have > replicas {
+	if existing > replicas {
 		return "", nil
 	}
 	w.env.Events.Record(event.Event{Kind: event.KindWake, Model: u.ID(), Detail: fmt.Sprintf("version=%s replicas=%d", u.Version, replicas+1)})
-	c, err := w.firstOf(ctx, u, without, latest)
+	c, err := w.loadOnFirst(ctx, u, engines, latest)
 	return c.Engine, err
 }
 
-// awaitChange waits for news, at most for limit, and reports whether ctx goes on.
+// awaitChange waits until changed is closed, limit has elapsed or ctx ends, and reports whether ctx
+// is still valid.
 func awaitChange(ctx context.Context, changed <-chan struct{}, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -70,42 +72,43 @@
 	return ctx.Err() == nil
 }
 
-// round has the unit loaded on the soonest engine, or on one that holds a slot
-// when all slots are bound.
-func (w *Waker) round(ctx context.Context, u backend.Unit, latest time.Time) (string, error) {
-	c, err := w.firstOf(ctx, u, w.env.Tables.Engines.All(), latest)
+// tryLoad loads the unit on the engine with the shortest expected wait or, if all slots of the
+// model are bound, with one of the bound slots.
+func (w *Waker) tryLoad(ctx context.Context, u backend.Unit, latest time.Time) (string, error) {
+	c, err := w.loadOnFirst(ctx, u, w.env.Tables.Engines.All(), latest)
 	if err == nil {
 		return c.Engine, nil
 	}
 	if f := verdict.Of(err); f.Reason == verdict.ReasonNoSlot {
-		return w.useBoundSlot(ctx, c, u, f.Engines, latest)
+		return w.loadWithBoundSlot(ctx, c, u, f.Engines, latest)
 	}
 	return "", err
 }
 
-// firstOf asks the engines that could take the unit, the soonest first, and
-// returns the one that did, or the one that stopped the search.
-func (w *Waker) firstOf(ctx context.Context, u backend.Unit, engines []table.EngineView, latest time.Time) (placement.Candidate, error) {
+// loadOnFirst tries the engines that could load the unit, in order of expected wait, and returns
+// the one that loaded it. On an error that the other engines would return as well, it returns the
+// engine that it tried last.
+func (w *Waker) loadOnFirst(ctx context.Context, u backend.Unit, engines []table.EngineView, latest time.Time) (placement.Candidate, error) {
 	index := w.env.Tables.Config.Index()
 	memory, err := memoryOf(index, u)
 	if err != nil {
 		return placement.Candidate{}, err
 	}
-	need := placement.LoadRequest{Unit: u, MemoryBytes: memory, FailureDomain: w.env.Tables.Members.Self().FailureDomain}
-	last := error(verdict.Refuse(verdict.ReasonNoReplica, "no engine has room for %s", u.ID()).After(w.params.RetryAfter))
-	for i, c := range w.env.Policy.Rank(need, index, engines) {
-		if i == w.params.Tries || ctx.Err() != nil {
+	req := placement.LoadRequest{Unit: u, MemoryBytes: memory, FailureDomain: w.env.Tables.Members.Self().FailureDomain}
+	lastErr := error(verdict.Refuse(verdict.ReasonNoReplica, "no engine has room for %s", u.ID()).After(w.params.RetryAfter))
+	for i, c := range w.env.Policy.Rank(req, index, engines) {
+		if i == w.params.EnginesPerAttempt || ctx.Err() != nil {
 			break
 		}
-		if last = w.load(ctx, c.Engine, c.Orderer, u, latest); last == nil {
+		if lastErr = w.loadOn(ctx, c.Engine, c.Orderer, u, latest); lastErr == nil {
 			return c, nil
 		}
-		switch verdict.Of(last).Reason {
+		switch verdict.Of(lastErr).Reason {
 		case verdict.ReasonNoSlot, verdict.ReasonPlatform:
-			return c, last // the other engines would meet the same
+			return c, lastErr // the other engines would fail in the same way
 		}
 	}
-	return placement.Candidate{}, last
+	return placement.Candidate{}, lastErr
 }
 
 func memoryOf(index *declaration.Index, u backend.Unit) (int64, error) {
@@ -123,9 +126,9 @@
 	return int64(m.Memory), nil
 }
 
-// useBoundSlot is for when all slots are bound to other engines: one of those
-// loads the unit, or, if it has no room, yields the slot to the candidate.
-func (w *Waker) useBoundSlot(ctx context.Context, c placement.Candidate, u backend.Unit, bound []string, latest time.Time) (string, error) {
+// loadWithBoundSlot handles the case that all slots of the model are bound to other engines. One of
+// these loads the unit or, if none can, one releases its slot and candidate c loads the unit.
+func (w *Waker) loadWithBoundSlot(ctx context.Context, c placement.Candidate, u backend.Unit, bound []string, latest time.Time) (string, error) {
 	var holders []table.EngineView
 	for _, name := range bound {
 		if e, known := w.env.Tables.Engines.Get(name); known && e.Usable() {
@@ -133,15 +136,15 @@
 		}
 	}
 	for _, e := range holders {
-		if w.load(ctx, e.Engine, e.Orderer, u, latest) == nil {
+		if w.loadOn(ctx, e.Engine, e.Orderer, u, latest) == nil {
 			return e.Engine, nil
 		}
 	}
 	for _, e := range holders {
-		if w.yield(ctx, e.Engine, e.Orderer, u) != nil {
+		if w.orderYield(ctx, e.Engine, e.Orderer, u) != nil {
 			continue
 		}
-		if err := w.load(ctx, c.Engine, c.Orderer, u, latest); err == nil {
+		if err := w.loadOn(ctx, c.Engine, c.Orderer, u, latest); err == nil {
 			return c.Engine, nil
 		}
 	}
@@ -150,7 +153,7 @@
 	return "", f.After(w.params.RetryAfter)
 }
 
-func (w *Waker) holders(model string) []table.EngineView {
+func (w *Waker) slotHolders(model string) []table.EngineView {
 	var out []table.EngineView
 	for _, e := range w.env.Tables.Engines.All() {
 		if slices.Contains(e.Held, model) && e.Orderer != "" && e.Usable() {
@@ -160,9 +163,9 @@
 	return out
 }
 
-// load has the unit loaded on an engine, from the weight store once there is a
-// stream, by the time after which nobody waits for it.
-func (w *Waker) load(ctx context.Context, engine, ordererName string, u backend.Unit, latest time.Time) error {
+// loadOn loads the unit on the engine, after a stream of the weight store is available if the load
+// needs one. latest is the time after which nobody waits for the unit.
+func (w *Waker) loadOn(ctx context.Context, engine, ordererName string, u backend.Unit, latest time.Time) error {
 	ctx, cancel := context.WithDeadline(ctx, latest)
 	defer cancel()
 	memory, err := memoryOf(w.env.Tables.Config.Index(), u)
@@ -170,15 +173,15 @@
 		return err
 	}
 	view, _ := w.env.Tables.Engines.Get(engine)
-	if err := w.acquire(ctx, view, u, memory, latest); err != nil {
+	if err := w.acquireStream(ctx, view, u, memory, latest); err != nil {
 		return err
 	}
-	return w.order(ctx, engine, ordererName, u)
+	return w.orderLoad(ctx, engine, ordererName, u)
 }
 
-// order asks an engine's orderer, here or elsewhere, to load the unit.
-func (w *Waker) order(ctx context.Context, engine, ordererName string, u backend.Unit) error {
-	if w.orders.Orderer(engine) != nil {
+// orderLoad requests the load from the engine's orderer, which may be this instance or another one.
+func (w *Waker) orderLoad(ctx context.Context, engine, ordererName string, u backend.Unit) error {
+	if w.orderers.Orderer(engine) != nil {
 		return w.Load(ctx, engine, u)
 	}
 	address, err := w.ordererAddress(engine, ordererName)
@@ -186,19 +189,19 @@
 		return err
 	}
 	residency, err := w.peers.Load(ctx, address, engine, u)
-	w.learn(residency)
-	return typed(err)
+	w.mergeResidency(residency)
+	return toFailure(err)
 }
 
-func (w *Waker) yield(ctx context.Context, engine, ordererName string, u backend.Unit) error {
-	if w.orders.Orderer(engine) != nil {
+func (w *Waker) orderYield(ctx context.Context, engine, ordererName string, u backend.Unit) error {
+	if w.orderers.Orderer(engine) != nil {
 		return w.Yield(ctx, engine, u)
 	}
 	address, err := w.ordererAddress(engine, ordererName)
 	if err != nil {
 		return err
 	}
-	return typed(w.peers.Yield(ctx, address, engine, u))
+	return toFailure(w.peers.Yield(ctx, address, engine, u))
 }
 
 func (w *Waker) ordererAddress(engine, ordererName string) (string, error) {
@@ -209,37 +212,39 @@
 	return member.PeerAddress, nil
 }
 
-// Load does the orderer's part of a wake.
+// Load loads the unit on an engine that this instance orders. Peers call it during a wake.
 func (w *Waker) Load(ctx context.Context, engine string, u backend.Unit) error {
-	o := w.orders.Orderer(engine)
+	o := w.orderers.Orderer(engine)
 	if o == nil {
-		return typed(orderer.ErrNotOrderer)
+		return toFailure(orderer.ErrNotOrderer)
 	}
 	memory, err := memoryOf(w.env.Tables.Config.Index(), u)
 	if err != nil {
 		return err
 	}
-	return typed(o.Load(ctx, u, memory))
+	return toFailure(o.Load(ctx, u, memory))
 }
 
-// Yield does the orderer's part of moving a slot.
+// Yield releases the slot of the unit's model on an engine that this instance orders. Peers call it
+// to move a slot to another engine.
 func (w *Waker) Yield(ctx context.Context, engine string, u backend.Unit) error {
-	o := w.orders.Orderer(engine)
+	o := w.orderers.Orderer(engine)
 	if o == nil {
-		return typed(orderer.ErrNotOrderer)
+		return toFailure(orderer.ErrNotOrderer)
 	}
-	return typed(o.Yield(ctx, u.Model))
+	return toFailure(o.Yield(ctx, u.Model))
 }
 
-// typed turns the errors of orderers into failures. Loading runs no request.
-func typed(err error) error {
-	var none *placement.NoSlotError
+// toFailure converts an error of an orderer into a verdict.Failure. Since a load runs no request,
+// the verdict of errors of other kinds is NotRun.
+func toFailure(err error) error {
+	var noSlot *placement.NoSlotError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &none):
+	case errors.As(err, &noSlot):
 		f := verdict.Refuse(verdict.ReasonNoSlot, "%v", err)
-		f.Engines = none.Engines
+		f.Engines = noSlot.Engines
 		return f
 	case errors.Is(err, orderer.ErrNotOrderer), errors.Is(err, peer.ErrUnreachable):
 		return verdict.Refuse(verdict.ReasonNotOrderer, "%v", err)
--- a/command/wake/flight.go
+++ b/command/wake/flight.go
@@ -8,99 +8,99 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// flights shares one piece of work among all who ask for it while it runs. The
-// work's context ends when the last of them has left: a load that can serve
-// nobody any more is not started.
-type flights struct {
+// flightGroup shares one call among all callers that request the same ID while it runs. The context
+// of the call is cancelled when the last caller has left, so that no load is started that nobody
+// waits for any more.
+type flightGroup struct {
 	mu   sync.Mutex
 	byID map[string]*flight // guarded by mu
 }
 
-// flight is one piece of shared work.
+// flight is one shared call.
 type flight struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	mu      sync.Mutex
-	waiters int       // guarded by mu
-	latest  time.Time // guarded by mu; the latest deadline of those that wait
+	mu          sync.Mutex
+	waiters     int       // guarded by mu
+	maxDeadline time.Time // guarded by mu; latest deadline of all callers
 
 	engine string // set before done is closed
 	err    error  // set before done is closed
 }
 
-// work is what a flight runs. latest returns the time after which nobody waits
-// for the result.
-type work func(ctx context.Context, latest func() time.Time) (string, error)
+// flightFunc is the function that a flight runs. latest returns the latest deadline of all callers,
+// after which the result is of no use.
+type flightFunc func(ctx context.Context, latest func() time.Time) (string, error)
 
-// join starts the work named id or joins it, and returns its result, or a
-// refusal once ctx ends. latest is how long the waiter has use for the result.
-// A waiter whose ctx ends before is counted out only after the grace time, in
-// which it may come back.
-func (f *flights) join(ctx context.Context, id string, latest time.Time, grace time.Duration, run work) (string, error) {
-	one := f.enter(id, latest, run)
-	defer time.AfterFunc(grace, func() { f.leave(id, one) })
+// do starts the call with the given ID, or joins the one in progress, and returns its result, or a
+// refusal once ctx ends. latest is the time until which the caller can use the result. A caller
+// leaves only grace after do returns, so that the call continues if the caller repeats it within
+// that time.
+func (f *flightGroup) do(ctx context.Context, id string, latest time.Time, grace time.Duration, run flightFunc) (string, error) {
+	fl := f.startOrJoin(id, latest, run)
+	defer time.AfterFunc(grace, func() { f.leave(id, fl) })
 	select {
-	case <-one.done:
-		return one.engine, one.err
+	case <-fl.done:
+		return fl.engine, fl.err
 	case <-ctx.Done():
 		return "", verdict.Refuse(verdict.ReasonDeadline, "%s was not loaded in time", id)
 	}
 }
 
-func (f *flights) enter(id string, deadline time.Time, run work) *flight {
+func (f *flightGroup) startOrJoin(id string, deadline time.Time, run flightFunc) *flight {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	one, found := f.byID[id]
+	fl, found := f.byID[id]
 	if found {
-		one.mu.Lock()
-		defer one.mu.Unlock()
-		one.waiters++
-		if deadline.After(one.latest) {
-			one.latest = deadline
+		fl.mu.Lock()
+		defer fl.mu.Unlock()
+		fl.waiters++
+		if deadline.After(fl.maxDeadline) {
+			fl.maxDeadline = deadline
 		}
-		return one
+		return fl
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	one = &flight{cancel: cancel, done: make(chan struct{}), waiters: 1, latest: deadline}
+	fl = &flight{cancel: cancel, done: make(chan struct{}), waiters: 1, maxDeadline: deadline}
 	if f.byID == nil {
 		f.byID = map[string]*flight{}
 	}
-	f.byID[id] = one
+	f.byID[id] = fl
 	go func() {
-		one.engine, one.err = run(ctx, one.latestDeadline)
-		f.remove(id, one)
-		close(one.done)
+		fl.engine, fl.err = run(ctx, fl.latestDeadline)
+		f.remove(id, fl)
+		close(fl.done)
 	}()
-	return one
+	return fl
 }
 
-func (one *flight) latestDeadline() time.Time {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	return one.latest
+func (fl *flight) latestDeadline() time.Time {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	return fl.maxDeadline
 }
 
-// leave counts a waiter out; the last one ends the work.
-func (f *flights) leave(id string, one *flight) {
+// leave removes one caller. When the last one leaves, the call is cancelled.
+func (f *flightGroup) leave(id string, fl *flight) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	one.waiters--
-	if one.waiters > 0 {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	fl.waiters--
+	if fl.waiters > 0 {
 		return
 	}
-	one.cancel()
-	if f.byID[id] == one {
+	fl.cancel()
+	if f.byID[id] == fl {
 		delete(f.byID, id)
 	}
 }
 
-func (f *flights) remove(id string, one *flight) {
+func (f *flightGroup) remove(id string, fl *flight) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.byID[id] == one {
+	if f.byID[id] == fl {
 		delete(f.byID, id)
 	}
 }
--- a/command/wake/prospect.go
+++ b/command/wake/recover.go
@@ -8,20 +8,20 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// prospect reports whether what stood in the way is likely to pass soon by
-// itself: an engine's orderer is being replaced, or models in use fall idle.
-// What only operators or a healed partition can change is refused at once.
-func (w *Waker) prospect(u backend.Unit, err error) bool {
+// mayRecover reports whether the cause of err is likely to go away soon without intervention,
+// because an engine's orderer is being replaced or models in use may become idle. Causes that only
+// operators or the end of a network partition can remove are not retried.
+func (w *Waker) mayRecover(u backend.Unit, err error) bool {
 	f := verdict.Of(err)
 	switch {
 	case f.Reason == verdict.ReasonNotOrderer || f.Reason == verdict.ReasonBackend:
 		return true
 	case len(f.Engines) > 0:
-		return slices.ContainsFunc(f.Engines, w.withinReach)
+		return slices.ContainsFunc(f.Engines, w.domainReachable)
 	case u.Adapter != "" && !w.modelResident(u):
-		return false // the model has to be woken first
+		return false // the base model has to be loaded first
 	case f.Reason == verdict.ReasonNoReplica:
-		return w.betweenOrderers(u) || w.mayFallIdle(u)
+		return w.awaitsOrderer(u) || w.mayBecomeIdle(u)
 	default:
 		return false
 	}
@@ -34,16 +34,16 @@
 	})
 }
 
-// withinReach reports whether instances live in the engine's failure domain,
-// so that its slots can be used or given up.
-func (w *Waker) withinReach(engine string) bool {
+// domainReachable reports whether instances are alive in the engine's failure domain, so that the
+// engine's slots can be used or released.
+func (w *Waker) domainReachable(engine string) bool {
 	declared, found := w.env.Tables.Config.Index().Engines[engine]
 	return found && w.env.Tables.Members.Populated(declared.FailureDomain)
 }
 
-// betweenOrderers reports whether an engine that the model may use lacks a
-// living orderer in a failure domain where instances live.
-func (w *Waker) betweenOrderers(u backend.Unit) bool {
+// awaitsOrderer reports whether an engine on which the model is allowed has no live orderer
+// although instances are alive in its failure domain.
+func (w *Waker) awaitsOrderer(u backend.Unit) bool {
 	index := w.env.Tables.Config.Index()
 	model, found := index.Models[u.Model]
 	if !found {
@@ -54,42 +54,42 @@
 			continue
 		}
 		view, known := w.env.Tables.Engines.Get(declared.Name)
-		if !known || !w.living(view.Orderer) {
+		if !known || !w.isAlive(view.Orderer) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *Waker) living(name string) bool {
+func (w *Waker) isAlive(name string) bool {
 	m, found := w.env.Tables.Members.Get(name)
 	return found && m.State == table.Alive
 }
 
-// mayFallIdle reports whether an engine within reach would have room if it
-// held nothing else.
-func (w *Waker) mayFallIdle(u backend.Unit) bool {
+// mayBecomeIdle reports whether a reachable engine would have room for the unit if it held nothing
+// else.
+func (w *Waker) mayBecomeIdle(u backend.Unit) bool {
 	index := w.env.Tables.Config.Index()
 	memory, err := memoryOf(index, u)
 	if err != nil {
 		return false
 	}
 	for _, e := range w.env.Tables.Engines.All() {
-		if e.Usable() && w.living(e.Orderer) && e.MemoryBytes >= memory && index.Models[u.Model].AllowedIn(e.FailureDomain) && w.slotPossible(e, u.Model) {
+		if e.Usable() && w.isAlive(e.Orderer) && e.MemoryBytes >= memory && index.Models[u.Model].AllowedIn(e.FailureDomain) && w.slotObtainable(e, u.Model) {
 			return true
 		}
 	}
 	return false
 }
 
-// slotPossible reports whether the engine holds the model's slot or an engine
-// within reach could yield one.
-func (w *Waker) slotPossible(e table.EngineView, model string) bool {
+// slotObtainable reports whether the engine holds a slot of the model, or a reachable engine could
+// release one.
+func (w *Waker) slotObtainable(e table.EngineView, model string) bool {
 	if slices.Contains(e.Held, model) {
 		return true
 	}
-	for _, holder := range w.holders(model) {
-		if w.living(holder.Orderer) {
+	for _, holder := range w.slotHolders(model) {
+		if w.isAlive(holder.Orderer) {
 			return true
 		}
 	}
--- a/command/wake/streams.go
+++ b/command/wake/streams.go
@@ -14,16 +14,17 @@
 	"github.com/martenport/martenport/table"
 )
 
-// acquire waits for a stream of the weight store for a load on the engine. A
-// load from a cache needs none.
-func (w *Waker) acquire(ctx context.Context, engine table.EngineView, u backend.Unit, memory int64, latest time.Time) error {
+// acquireStream waits for a stream of the weight store for a load on the engine. A load from a
+// cache, and that of an adapter, needs none. If the gate's instance cannot be reached, the load
+// proceeds without a stream.
+func (w *Waker) acquireStream(ctx context.Context, engine table.EngineView, u backend.Unit, memory int64, latest time.Time) error {
 	if _, cached := engine.Cached[u.ID()]; cached || u.Adapter != "" {
 		return nil
 	}
 	if _, started := engine.Find(u.ID()); started {
 		return nil
 	}
-	gate := w.gateOf(engine.FailureDomain)
+	gate := w.gateInstance(engine.FailureDomain)
 	if gate.Name == w.env.Instance {
 		return w.gate.Acquire(ctx, weights.Request{Engine: engine.Engine, Unit: u.ID(), Bytes: memory, Latest: latest})
 	}
@@ -34,27 +35,27 @@
 		Engine: engine.Engine, Unit: u.ID(), Bytes: memory, LatestMS: time.Until(latest).Milliseconds(),
 	})
 	if errors.Is(err, peer.ErrUnreachable) && ctx.Err() == nil {
-		return nil // better unordered than not at all
+		return nil // an uncoordinated load is better than none
 	}
-	return typed(err)
+	return toFailure(err)
 }
 
-// gateOf returns the instance with the failure domain's gate.
-func (w *Waker) gateOf(domain string) table.Member {
+// gateInstance returns the instance that runs the weight store gate of the failure domain.
+func (w *Waker) gateInstance(domain string) table.Member {
 	members := w.env.Tables.Members.AliveIn(domain)
 	member, _ := w.env.Tables.Members.Get(rendezvous.Choose("weights", table.Names(members)))
 	return member
 }
 
-// Stream does the gate's part for an instance elsewhere.
+// Stream acquires a stream from this instance's gate on behalf of another instance.
 func (w *Waker) Stream(ctx context.Context, r weights.Request) error {
 	return w.gate.Acquire(ctx, r)
 }
 
-// gateTick is how often the gate looks at what has finished.
+// gateTick is the interval at which the gate checks for finished loads.
 const gateTick = 100 * time.Millisecond
 
-// Run keeps the gate going until ctx ends.
+// Run updates the gate until ctx ends.
 func (w *Waker) Run(ctx context.Context) {
 	ticker := time.NewTicker(gateTick)
 	defer ticker.Stop()
@@ -65,19 +66,19 @@
 		case <-ctx.Done():
 			return
 		}
-		w.gate.Update(w.streams(), w.loadState, time.Now())
+		w.gate.Update(w.availableStreams(), w.loadState, time.Now())
 	}
 }
 
-func (w *Waker) streams() weights.Streams {
+func (w *Waker) availableStreams() weights.Streams {
 	d := w.env.Tables.Config.Index().Declaration
 	own := slices.Index(d.FailureDomains, w.env.Tables.Members.Self().FailureDomain)
-	return weights.Divide(d.WeightStore.Streams, len(d.FailureDomains), own, w.streamsElsewhere())
+	return weights.Divide(d.WeightStore.Streams, len(d.FailureDomains), own, w.streamsInOtherDomains())
 }
 
-// streamsElsewhere counts the loads from the weight store that are known to run
-// in the other failure domains.
-func (w *Waker) streamsElsewhere() int {
+// streamsInOtherDomains returns the number of loads from the weight store known to be in progress
+// in other failure domains.
+func (w *Waker) streamsInOtherDomains() int {
 	own := w.env.Tables.Members.Self().FailureDomain
 	n := 0
 	for _, e := range w.env.Tables.Engines.All() {
