--- a/table/engines.go
+++ b/table/engines.go
@@ -9,42 +9,43 @@
 	"github.com/martenport/martenport/backend"
 )
 
-// Residency is what changes seldom on an engine, published by its orderer and
-// relayed to all instances.
+// Residency is the part of an engine's state that changes rarely. It is published by the engine's
+// orderer and relayed to all instances.
 type Residency struct {
 	Engine        string
 	FailureDomain string
-	// Orderer is the name of the instance that orders the engine; empty when
-	// it handed over.
+	// Orderer is the name of the instance that orders the engine; it is empty after a handover.
 	Orderer string
 	Epoch   uint64
-	// Version grows with each publication in one epoch.
+	// Version increases with each publication within an epoch.
 	Version uint64
 	Units   []UnitState
-	// Held lists the models for which the engine holds a slot.
+	// Held lists the models of which the engine holds a slot.
 	Held []string
-	// Doubtful lists units that an earlier orderer may still load.
+	// Doubtful lists the units for which an order of an earlier orderer may still arrive.
 	Doubtful []string
 	Leaving  bool
-	// Unreachable says that the engine does not answer its orderer; unlike
-	// Leaving it may pass.
+	// Unreachable means that the engine does not answer its orderer. Unlike Leaving, it can be
+	// temporary.
 	Unreachable bool
 	Incarnation string
 	MemoryBytes int64
 	UsedBytes   int64
-	// IdleBytes could be freed by unloading what serves nothing.
+	// IdleBytes is the memory that unloading idle units would free.
 	IdleBytes int64
-	// Cached lists where checkpoints are cached, remote ones left out.
+	// Cached maps unit IDs to the tier that caches the checkpoint; checkpoints that are only in the
+	// weight store are omitted.
 	Cached map[string]backend.Tier
 }
 
-// UnitState is one unit on an engine.
+// UnitState is the state of one unit on an engine.
 type UnitState struct {
 	backend.Unit
 	State backend.State
 }
 
-// Load is what changes often on an engine, relayed within its failure domain.
+// Load is the part of an engine's state that changes often. It is relayed within the engine's
+// failure domain only.
 type Load struct {
 	Engine  string
 	Epoch   uint64
@@ -53,23 +54,23 @@
 	Running int
 }
 
-// EngineView is all that is known of one engine.
+// EngineView is the state of one engine as known to this instance.
 type EngineView struct {
 	Residency
 	Load Load
-	// SeenAt is when this instance last heard of a change, by its own clock.
+	// SeenAt is when this instance last received a change, by its own clock.
 	SeenAt time.Time
 }
 
-// Resident reports whether the unit is ready in that version.
+// Resident reports whether the unit is resident in the given version.
 func (v EngineView) Resident(u backend.Unit) bool {
 	return slices.Contains(v.Units, UnitState{Unit: u, State: backend.Resident})
 }
 
-// Usable reports whether new work may go to the engine.
+// Usable reports whether new work may be sent to the engine.
 func (v EngineView) Usable() bool { return !v.Leaving && !v.Unreachable }
 
-// Find returns the state of the unit, whatever its version.
+// Find returns the state of the unit in any version.
 func (v EngineView) Find(unitID string) (UnitState, bool) {
 	i := slices.IndexFunc(v.Units, func(u UnitState) bool { return u.Unit.ID() == unitID })
 	if i < 0 {
@@ -80,11 +81,11 @@
 
 type engineEntry struct {
 	EngineView
-	residencyChange, loadChange uint64
-	leftIncarnation             string
+	residencySequence, loadSequence uint64
+	leavingIncarnation              string
 }
 
-// Engines is the table of engines.
+// Engines is the table of engines. It is safe for concurrent use.
 type Engines struct {
 	log *changeLog
 
@@ -96,12 +97,12 @@
 	return &Engines{log: log, engines: map[string]*engineEntry{}}
 }
 
-// Mark returns the number of the last change to any table and a channel that
-// is closed at the next one.
+// Mark returns the sequence number of the last change to any table and a channel that is closed at
+// the next change.
 func (t *Engines) Mark() (uint64, <-chan struct{}) { return t.log.Mark() }
 
-// entry needs mu.
-func (t *Engines) entry(name string) *engineEntry {
+// entryLocked returns the entry of the engine, which it adds if there is none. t.mu must be held.
+func (t *Engines) entryLocked(name string) *engineEntry {
 	e, found := t.engines[name]
 	if !found {
 		e = &engineEntry{}
@@ -110,68 +111,69 @@
 	return e
 }
 
-// MergeResidency takes in newer residencies and returns those that are new. An
-// incarnation of an engine that was once leaving stays leaving.
+// MergeResidency merges the residencies that are newer than the known ones and returns them. An
+// engine incarnation that was once reported as leaving remains leaving.
 func (t *Engines) MergeResidency(list []Residency) []Residency {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Residency
 	for _, r := range list {
-		e := t.entry(r.Engine)
+		e := t.entryLocked(r.Engine)
 		if r.Leaving && r.Incarnation == e.Incarnation {
-			t.leave(e)
+			t.markLeavingLocked(e)
 		}
 		if cmp.Or(cmp.Compare(r.Epoch, e.Epoch), cmp.Compare(r.Version, e.Residency.Version)) <= 0 {
 			continue
 		}
 		if r.Leaving {
-			e.leftIncarnation = r.Incarnation
+			e.leavingIncarnation = r.Incarnation
 		}
-		r.Leaving = r.Leaving || (r.Incarnation != "" && r.Incarnation == e.leftIncarnation)
+		r.Leaving = r.Leaving || (r.Incarnation != "" && r.Incarnation == e.leavingIncarnation)
 		e.Residency = r
 		e.SeenAt = time.Now()
-		e.residencyChange = t.log.next()
+		e.residencySequence = t.log.advance()
 		out = append(out, r)
 	}
 	return out
 }
 
-// MergeLoad takes in newer load figures.
+// MergeLoad merges the loads that are newer than the known ones.
 func (t *Engines) MergeLoad(list []Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range list {
-		e := t.entry(l.Engine)
+		e := t.entryLocked(l.Engine)
 		if cmp.Or(cmp.Compare(l.Epoch, e.Load.Epoch), cmp.Compare(l.Version, e.Load.Version)) <= 0 {
 			continue
 		}
 		e.Load = l
 		e.SeenAt = time.Now()
-		e.loadChange = t.log.next()
+		e.loadSequence = t.log.advance()
 	}
 }
 
-// MarkLeaving notes the engine's own word that it is leaving, ahead of its
-// orderer's next publication.
+// MarkLeaving records that the engine itself reported that it is leaving, before its orderer's next
+// publication. It reports whether this was new.
 func (t *Engines) MarkLeaving(engine string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.entry(engine)
-	return t.leave(e)
+	e := t.entryLocked(engine)
+	return t.markLeavingLocked(e)
 }
 
-// leave needs mu.
-func (t *Engines) leave(e *engineEntry) bool {
+// markLeavingLocked marks the engine's current incarnation as leaving and reports whether this was
+// new. t.mu must be held.
+func (t *Engines) markLeavingLocked(e *engineEntry) bool {
 	if e.Leaving {
 		return false
 	}
 	e.Leaving = true
-	e.leftIncarnation = e.Incarnation
-	e.residencyChange = t.log.next()
+	e.leavingIncarnation = e.Incarnation
+	e.residencySequence = t.log.advance()
 	return true
 }
 
-// Get returns what is known of an engine.
+// Get returns the state of an engine and whether it is known.
 func (t *Engines) Get(name string) (EngineView, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,7 +184,7 @@
 	return e.EngineView, true
 }
 
-// All returns all engines by name.
+// All returns all engines, sorted by name.
 func (t *Engines) All() []EngineView {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,7 +198,7 @@
 	return out
 }
 
-// Delta is what changed in the tables after a number.
+// Delta contains the changes to the tables after a sequence number.
 type Delta struct {
 	Sequence    uint64
 	Members     []Member
@@ -204,24 +206,24 @@
 	Loads       []Load
 }
 
-// Since returns what changed after number n; load figures only if loads is set.
+// Since returns the changes after sequence number n. It includes loads only if loads is true.
 func (t *Tables) Since(n uint64, loads bool) Delta {
 	sequence, _ := t.Engines.Mark()
-	d := Delta{Sequence: sequence, Members: t.Members.since(n)}
+	d := Delta{Sequence: sequence, Members: t.Members.changedSince(n)}
 	t.Engines.mu.Lock()
 	defer t.Engines.mu.Unlock()
 	for _, e := range t.Engines.engines {
-		if e.residencyChange > n {
+		if e.residencySequence > n {
 			d.Residencies = append(d.Residencies, e.Residency)
 		}
-		if loads && e.loadChange > n {
+		if loads && e.loadSequence > n {
 			d.Loads = append(d.Loads, e.Load)
 		}
 	}
 	return d
 }
 
-// Empty reports whether nothing changed.
+// Empty reports whether the delta contains no changes.
 func (d Delta) Empty() bool {
 	return len(d.Members) == 0 && len(d.Residencies) == 0 && len(d.Loads) == 0
 }
--- a/table/members.go
+++ b/table/members.go
@@ -10,33 +10,33 @@
 // MemberState is the state of an instance.
 type MemberState int
 
-// The states. Within one version of an entry the later state wins.
+// States of an instance. Within one version of an entry, the later state wins.
 const (
 	Alive MemberState = iota + 1
 	Leaving
 	Dead
 )
 
-// String returns the state's name as shown by status.
+// String returns the name of the state, as shown in the status output.
 func (s MemberState) String() string {
 	return [...]string{"unknown", "alive", "leaving", "dead"}[s]
 }
 
-// Member is one entry instance as known here.
+// Member is the entry of one instance.
 type Member struct {
 	Name          string      `json:"name"`
 	FailureDomain string      `json:"failure_domain"`
 	PeerAddress   string      `json:"peer_address"`
 	State         MemberState `json:"state"`
-	// Incarnation grows with each start of the instance, Version with each
-	// change that the instance makes to its own entry.
+	// Incarnation increases with each start of the instance, and Version with each change that the
+	// instance makes to its own entry.
 	Incarnation int64  `json:"incarnation"`
 	Version     uint64 `json:"version"`
-	// Generation of the declaration in force there.
+	// Generation is the generation of the declaration in force on the instance.
 	Generation int64 `json:"generation"`
 }
 
-// newer orders entries of one instance.
+// newer reports whether m is newer than o, an entry of the same instance.
 func (m Member) newer(o Member) bool {
 	return cmp.Or(
 		cmp.Compare(m.Incarnation, o.Incarnation),
@@ -45,22 +45,22 @@
 	) > 0
 }
 
-// Members is the table of instances.
+// Members is the table of instances. It is safe for concurrent use.
 type Members struct {
 	log  *changeLog
 	self string
 
-	mu      sync.Mutex
-	members map[string]Member    // guarded by mu
-	changed map[string]uint64    // guarded by mu; change number by name
-	died    map[string]time.Time // guarded by mu; when each dead entry came to be known as dead
+	mu             sync.Mutex
+	members        map[string]Member    // guarded by mu
+	changeSequence map[string]uint64    // guarded by mu; sequence number of the last change, by name
+	deadSince      map[string]time.Time // guarded by mu; when this instance learned that the instance is dead, by name
 }
 
 func newMembers(self Member, log *changeLog) *Members {
-	m := &Members{log: log, self: self.Name, members: map[string]Member{}, changed: map[string]uint64{}, died: map[string]time.Time{}}
+	m := &Members{log: log, self: self.Name, members: map[string]Member{}, changeSequence: map[string]uint64{}, deadSince: map[string]time.Time{}}
 	self.State = Alive
 	m.members[self.Name] = self
-	m.changed[self.Name] = log.next()
+	m.changeSequence[self.Name] = log.advance()
 	return m
 }
 
@@ -71,7 +71,8 @@
 	return m.members[m.self]
 }
 
-// UpdateSelf changes this instance's entry and gives it a new version.
+// UpdateSelf calls change on this instance's entry and increments the entry's version if it
+// changed.
 func (m *Members) UpdateSelf(change func(*Member)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,28 +83,29 @@
 		return
 	}
 	self.Version++
-	m.store(self)
+	m.storeLocked(self)
 }
 
-// store needs mu.
-func (m *Members) store(e Member) {
+// storeLocked stores the entry and assigns it a sequence number. m.mu must be held.
+func (m *Members) storeLocked(e Member) {
 	if e.State != Dead {
-		delete(m.died, e.Name)
-	} else if _, known := m.died[e.Name]; !known {
-		m.died[e.Name] = time.Now()
+		delete(m.deadSince, e.Name)
+	} else if _, known := m.deadSince[e.Name]; !known {
+		m.deadSince[e.Name] = time.Now()
 	}
 	m.members[e.Name] = e
-	m.changed[e.Name] = m.log.next()
+	m.changeSequence[e.Name] = m.log.advance()
 }
 
-// MemberChange is one entry of the table before and after a merge.
+// MemberChange is an entry before and after a merge.
 type MemberChange struct {
 	Before, After Member
 }
 
-// Merge takes in what a peer or the platform says and returns the entries
-// that changed. Word that this instance is dead, or an entry of an earlier
-// start that looks newer, is answered by a newer entry of its own.
+// Merge merges entries received from a peer or the platform and returns those that changed. If an
+// entry of this instance itself is newer than the known one, because it is marked dead or stems
+// from an earlier start, Merge replaces it by the known state under a higher version and does not
+// return it.
 func (m *Members) Merge(entries []Member) []MemberChange {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,17 +118,17 @@
 		if e.Name == m.self {
 			known.Incarnation = max(known.Incarnation, e.Incarnation)
 			known.Version = max(known.Version, e.Version) + 1
-			m.store(known)
+			m.storeLocked(known)
 			continue
 		}
-		m.store(e)
+		m.storeLocked(e)
 		out = append(out, MemberChange{Before: known, After: e})
 	}
 	return out
 }
 
-// MarkDead notes that the instance does not answer. It reports whether the
-// instance was thought alive or leaving before.
+// MarkDead marks an instance that does not answer as dead. It reports whether the instance was
+// alive or leaving before.
 func (m *Members) MarkDead(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,29 +137,28 @@
 		return false
 	}
 	e.State = Dead
-	m.store(e)
+	m.storeLocked(e)
 	return true
 }
 
-// ForgetDead drops the entries that have been dead for longer than a time, and
-// returns their names. Without it 94 replacements a day under new names would
-// fill the table.
-func (m *Members) ForgetDead(longer time.Duration) []string {
+// ForgetDead removes the entries that have been dead for longer than maxAge and returns their
+// names. Without it, 94 replacements a day under new names would fill the table.
+func (m *Members) ForgetDead(maxAge time.Duration) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
-	for name, since := range m.died {
-		if time.Since(since) > longer {
+	for name, since := range m.deadSince {
+		if time.Since(since) > maxAge {
 			delete(m.members, name)
-			delete(m.changed, name)
-			delete(m.died, name)
+			delete(m.changeSequence, name)
+			delete(m.deadSince, name)
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// Get returns the entry of an instance.
+// Get returns the entry of an instance and whether it is known.
 func (m *Members) Get(name string) (Member, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -165,22 +166,22 @@
 	return e, found
 }
 
-// All returns all entries by name.
+// All returns all entries, sorted by name.
 func (m *Members) All() []Member {
-	return m.selectBy(func(Member) bool { return true })
+	return m.filter(func(Member) bool { return true })
 }
 
-// Alive returns all instances that take new work.
+// Alive returns the instances that accept new work, sorted by name.
 func (m *Members) Alive() []Member {
-	return m.selectBy(func(e Member) bool { return e.State == Alive })
+	return m.filter(func(e Member) bool { return e.State == Alive })
 }
 
-// AliveIn returns the instances of a failure domain that take new work.
+// AliveIn returns the instances of a failure domain that accept new work, sorted by name.
 func (m *Members) AliveIn(domain string) []Member {
-	return m.selectBy(func(e Member) bool { return e.FailureDomain == domain && e.State == Alive })
+	return m.filter(func(e Member) bool { return e.FailureDomain == domain && e.State == Alive })
 }
 
-// Populated reports whether an instance of the failure domain takes new work.
+// Populated reports whether any instance of the failure domain accepts new work.
 func (m *Members) Populated(domain string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -201,7 +202,7 @@
 	return out
 }
 
-func (m *Members) selectBy(keep func(Member) bool) []Member {
+func (m *Members) filter(keep func(Member) bool) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Member
@@ -214,7 +215,7 @@
 	return out
 }
 
-// since returns the entries changed after number n.
-func (m *Members) since(n uint64) []Member {
-	return m.selectBy(func(e Member) bool { return m.changed[e.Name] > n })
+// changedSince returns the entries changed after sequence number n.
+func (m *Members) changedSince(n uint64) []Member {
+	return m.filter(func(e Member) bool { return m.changeSequence[e.Name] > n })
 }
--- a/table/table.go
+++ b/table/table.go
@@ -1,11 +1,11 @@
-// Package table holds what an instance knows of the fleet, shared by all its
-// workers: the declaration in force, the instances, and the engines.
+// Package table holds an instance's view of the fleet, which is shared by all of its goroutines:
+// the declaration in force, the instances, and the engines.
 //
-// Lock order: Config, then Members, then Engines. No lock is held over a call
-// to another process, and none of the tables calls out while it holds its own.
+// Lock order: Config, then Members, then Engines. No lock is held during a call to another process,
+// and no table calls out while its own lock is held.
 //
-// What is in Members and Engines may be old or wrong. Decisions based on it
-// cost time when it is, never safety.
+// Members and Engines may be outdated or wrong. Decisions based on them may then cost time, but
+// never safety.
 package table
 
 import (
@@ -20,14 +20,14 @@
 	"github.com/martenport/martenport/declaration"
 )
 
-// Tables is all shared state of one instance.
+// Tables is the shared state of one instance.
 type Tables struct {
 	Config  *Config
 	Members *Members
 	Engines *Engines
 }
 
-// New returns empty tables. self is this instance's own entry.
+// New returns tables that contain only self, this instance's own entry.
 func New(self Member) *Tables {
 	log := &changeLog{changed: make(chan struct{})}
 	return &Tables{
@@ -37,47 +37,46 @@
 	}
 }
 
-// Config is the declaration in force. It only ever moves to newer generations.
+// Config holds the declaration in force, which is only ever replaced by one of a newer generation.
 type Config struct {
-	mu      sync.Mutex // serialises Apply
+	mu      sync.Mutex // serializes Apply
 	current atomic.Pointer[Accepted]
 }
 
-// Accepted is an accepted declaration as kept in the platform and relayed
-// between instances.
+// Accepted is an accepted declaration as stored in the platform and relayed between instances.
 type Accepted struct {
 	Generation int64  `json:"generation"`
 	PlanID     string `json:"plan_id"`
-	// Compressed is the operators' YAML, byte for byte, under gzip: at the
-	// two-year size it is relayed hundreds of times a day.
+	// Compressed is the operators' YAML, unchanged and compressed with gzip, because at the size
+	// expected in two years it is relayed hundreds of times a day.
 	Compressed []byte `json:"compressed"`
-	// Plans are the ids of the plans accepted last, newest at the end.
+	// Plans are the IDs of the most recently accepted plans, the newest last.
 	Plans []string `json:"plans"`
 
 	index *declaration.Index
 }
 
-// Index returns the parsed declaration.
+// Index returns the parsed declaration, or nil before Parse.
 func (a *Accepted) Index() *declaration.Index { return a.index }
 
-// SetSource puts the operators' YAML in.
+// SetSource sets Compressed from the operators' YAML.
 func (a *Accepted) SetSource(source []byte) error {
-	var packed bytes.Buffer
-	w := gzip.NewWriter(&packed)
+	var compressed bytes.Buffer
+	w := gzip.NewWriter(&compressed)
 	if _, err := w.Write(source); err != nil {
 		return errors.Wrap(err, "table: compress")
 	}
 	if err := w.Close(); err != nil {
 		return errors.Wrap(err, "table: compress")
 	}
-	a.Compressed = packed.Bytes()
+	a.Compressed = compressed.Bytes()
 	return nil
 }
 
-// MaxSourceBytes bounds a declaration, packed or not.
+// MaxSourceBytes is the maximum size of a declaration, compressed or not.
 const MaxSourceBytes = 4 << 20
 
-// Source returns the operators' YAML.
+// Source returns the operators' YAML, or nil if there is none.
 func (a *Accepted) Source() ([]byte, error) {
 	if len(a.Compressed) == 0 {
 		return nil, nil
@@ -90,7 +89,7 @@
 	return source, errors.Wrap(err, "table: decompress")
 }
 
-// Parse fills in the index.
+// Parse decompresses and parses the source and sets the index.
 func (a *Accepted) Parse() error {
 	source, err := a.Source()
 	if err != nil {
@@ -104,10 +103,10 @@
 	return nil
 }
 
-// emptyIndex is in force before the first declaration.
+// emptyIndex is used until the first declaration is known.
 var emptyIndex = declaration.NewIndex(0, "", &declaration.Declaration{})
 
-// Accept parses a and puts it in force if it is newer than what is, and reports
+// Accept parses a, puts it in force if it is newer than the current declaration, and reports
 // whether it did.
 func (c *Config) Accept(a *Accepted) (bool, error) {
 	if a.Generation <= c.Index().Generation {
@@ -119,21 +118,22 @@
 	return c.Apply(a), nil
 }
 
-// Apply puts a in force if it is newer than what is, and reports whether it did.
+// Apply puts a, which must have been parsed, in force if it is newer than the current declaration,
+// and reports whether it did.
 func (c *Config) Apply(a *Accepted) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now := c.current.Load(); now != nil && now.Generation >= a.Generation {
+	if current := c.current.Load(); current != nil && current.Generation >= a.Generation {
 		return false
 	}
 	c.current.Store(a)
 	return true
 }
 
-// Accepted returns the accepted declaration in force, nil before the first.
+// Accepted returns the declaration in force, or nil before the first one.
 func (c *Config) Accepted() *Accepted { return c.current.Load() }
 
-// Index returns the declaration in force; it is empty before the first.
+// Index returns the index of the declaration in force. It is empty before the first declaration.
 func (c *Config) Index() *declaration.Index {
 	if a := c.current.Load(); a != nil {
 		return a.index
@@ -141,15 +141,15 @@
 	return emptyIndex
 }
 
-// changeLog numbers the changes of all tables, so that a peer can be sent only
-// what changed since it last asked.
+// changeLog assigns sequence numbers to the changes of all tables, so that a peer is sent only what
+// changed since its last request.
 type changeLog struct {
 	mu       sync.Mutex
 	sequence uint64        // guarded by mu
 	changed  chan struct{} // guarded by mu; closed at each change
 }
 
-func (l *changeLog) next() uint64 {
+func (l *changeLog) advance() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sequence++
@@ -158,8 +158,8 @@
 	return l.sequence
 }
 
-// Mark returns the number of the last change and a channel that is closed at
-// the next one.
+// Mark returns the sequence number of the last change and a channel that is closed at the next
+// change.
 func (l *changeLog) Mark() (uint64, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
