--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -11,33 +11,34 @@
 	"github.com/martenport/martenport/table"
 )
 
-// GossipParams set the rhythm of the exchange.
+// GossipParams are the settings of a Gossip.
 type GossipParams struct {
-	// Wait is how long a partner holds an exchange open when it has no news.
-	Wait time.Duration
-	// MinGap is the shortest time between two exchanges with one partner in
-	// the own failure domain, and FarGap with one of another.
-	MinGap, FarGap time.Duration
-	// Timeout is added to Wait for the answer to arrive.
+	// MaxWait is how long a partner holds an exchange open while it has no changes.
+	MaxWait time.Duration
+	// MinInterval is the pause between two exchanges with a partner in the own failure domain, and
+	// RemoteDomainInterval with a partner in another one.
+	MinInterval, RemoteDomainInterval time.Duration
+	// Timeout is the time allowed for the answer, in addition to MaxWait.
 	Timeout time.Duration
-	// Misses is how many exchanges in a row fail before the partner counts as
+	// MaxFailures is the number of consecutive failed exchanges after which a partner counts as
 	// dead.
-	Misses int
-	// Probe is how often one address that does not answer is tried again.
-	Probe time.Duration
-	// Seeds are peer addresses to start from.
+	MaxFailures int
+	// ProbeInterval is the interval at which one of the addresses that do not answer is tried
+	// again.
+	ProbeInterval time.Duration
+	// Seeds are the peer addresses to contact first.
 	Seeds []string
 }
 
-// DefaultGossipParams returns the rhythm used unless set otherwise.
+// DefaultGossipParams returns the default settings, without seeds.
 func DefaultGossipParams() GossipParams {
 	return GossipParams{
-		Wait: time.Second, MinGap: 200 * time.Millisecond, FarGap: time.Second,
-		Timeout: time.Second, Misses: 2, Probe: 2 * time.Second,
+		MaxWait: time.Second, MinInterval: 200 * time.Millisecond, RemoteDomainInterval: time.Second,
+		Timeout: time.Second, MaxFailures: 2, ProbeInterval: 2 * time.Second,
 	}
 }
 
-// Gossip keeps an instance's tables up to date from its partners.
+// Gossip keeps an instance's tables up to date by exchanging changes with its partners.
 type Gossip struct {
 	params GossipParams
 	client *Client
@@ -49,29 +50,29 @@
 	loops    sync.WaitGroup
 }
 
-// NewGossip returns a gossip over client.
+// NewGossip returns a Gossip that exchanges changes over client.
 func NewGossip(params GossipParams, client *Client, tables *table.Tables, events *event.Recorder) *Gossip {
 	return &Gossip{params: params, client: client, tables: tables, events: events, partners: map[string]context.CancelFunc{}}
 }
 
-// Run exchanges until ctx ends.
+// Run exchanges changes until ctx ends.
 func (g *Gossip) Run(ctx context.Context) {
 	defer g.loops.Wait()
 	for _, seed := range g.params.Seeds {
 		g.probe(ctx, seed)
 	}
-	ticker := time.NewTicker(g.params.Probe)
+	ticker := time.NewTicker(g.params.ProbeInterval)
 	defer ticker.Stop()
 	_, changed := g.tables.Engines.Mark()
 	for {
-		g.adjust(ctx)
+		g.updatePartners(ctx)
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			g.probeOne(ctx)
+			g.probeRandom(ctx)
 		case <-changed:
-			if !pause.For(ctx, g.params.MinGap) {
+			if !pause.For(ctx, g.params.MinInterval) {
 				return
 			}
 		}
@@ -79,10 +80,10 @@
 	}
 }
 
-// adjust starts and stops exchange loops as the partners change.
-func (g *Gossip) adjust(ctx context.Context) {
+// updatePartners starts and stops exchange loops as the set of partners changes.
+func (g *Gossip) updatePartners(ctx context.Context) {
 	wanted := map[string]table.Member{}
-	for _, m := range Partners(g.tables.Members.Self(), g.reachable()) {
+	for _, m := range Partners(g.tables.Members.Self(), g.notDead()) {
 		wanted[m.Name] = m
 	}
 	g.mu.Lock()
@@ -99,13 +100,13 @@
 		}
 		loopCtx, stop := context.WithCancel(ctx)
 		g.partners[name] = stop
-		g.loops.Go(func() { g.loop(loopCtx, m) })
+		g.loops.Go(func() { g.exchangeLoop(loopCtx, m) })
 	}
 }
 
-// reachable is every instance that is not known to be dead: leaving ones too,
-// since they pass on news until they go.
-func (g *Gossip) reachable() []table.Member {
+// notDead returns the instances that are not known to be dead. This includes leaving ones, since
+// they relay changes until they stop.
+func (g *Gossip) notDead() []table.Member {
 	var out []table.Member
 	for _, m := range g.tables.Members.All() {
 		if m.State != table.Dead {
@@ -115,27 +116,27 @@
 	return out
 }
 
-// loop exchanges with one partner until it is dropped or counts as dead.
-func (g *Gossip) loop(ctx context.Context, partner table.Member) {
-	state := ExchangeArgs{WaitMS: g.params.Wait.Milliseconds()}
-	gap := g.params.MinGap
+// exchangeLoop exchanges changes with one partner until ctx ends or the partner counts as dead.
+func (g *Gossip) exchangeLoop(ctx context.Context, partner table.Member) {
+	args := ExchangeArgs{WaitMS: g.params.MaxWait.Milliseconds()}
+	interval := g.params.MinInterval
 	if partner.FailureDomain != g.tables.Members.Self().FailureDomain {
-		gap = g.params.FarGap
+		interval = g.params.RemoteDomainInterval
 	}
-	misses := 0
-	for misses < g.params.Misses {
-		next, err := g.exchange(ctx, partner.PeerAddress, state)
+	failures := 0
+	for failures < g.params.MaxFailures {
+		next, err := g.exchange(ctx, partner.PeerAddress, args)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			misses++
+			failures++
 			g.client.Disconnect(partner.PeerAddress)
 		} else {
-			misses = 0
-			state = next
+			failures = 0
+			args = next
 		}
-		if !pause.For(ctx, gap) {
+		if !pause.For(ctx, interval) {
 			return
 		}
 	}
@@ -150,9 +151,10 @@
 	}
 }
 
-// exchange asks once and takes the changes in.
+// exchange performs one exchange with the instance at address and merges the changes. It returns
+// the arguments of the next exchange.
 func (g *Gossip) exchange(ctx context.Context, address string, args ExchangeArgs) (ExchangeArgs, error) {
-	ctx, cancel := context.WithTimeout(ctx, g.params.Wait+g.params.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, g.params.MaxWait+g.params.Timeout)
 	defer cancel()
 	args.FailureDomain = g.tables.Members.Self().FailureDomain
 	args.Introduce = nil
@@ -163,7 +165,7 @@
 	if err != nil {
 		return args, err
 	}
-	g.take(reply.Delta)
+	g.mergeDelta(reply.Delta)
 	if reply.Generation > g.tables.Config.Index().Generation {
 		g.fetchConfig(ctx, address)
 	}
@@ -171,8 +173,8 @@
 	return args, nil
 }
 
-// introduction is this instance's own entry and what it believes of the one at
-// address, which can so correct word of its death.
+// introduction returns this instance's own entry and the entry known for the instance at address,
+// so that the latter can correct the entry if it is wrongly marked dead.
 func (g *Gossip) introduction(address string) []table.Member {
 	out := []table.Member{g.tables.Members.Self()}
 	for _, m := range g.tables.Members.All() {
@@ -183,7 +185,7 @@
 	return out
 }
 
-func (g *Gossip) take(d table.Delta) {
+func (g *Gossip) mergeDelta(d table.Delta) {
 	for _, m := range g.tables.Members.Merge(d.Members) {
 		if m.Before.State == table.Dead && m.After.State == table.Alive {
 			g.events.Record(event.Event{Kind: event.KindPeerBack, Detail: "instance=" + m.After.Name})
@@ -205,8 +207,8 @@
 	Apply(g.tables, g.events, accepted, "peer")
 }
 
-// Apply puts an accepted declaration in force if it is newer, whoever brought
-// it.
+// Apply puts an accepted declaration in force if it is newer than the current one. source names its
+// origin in the recorded event.
 func Apply(tables *table.Tables, events *event.Recorder, accepted *table.Accepted, source string) {
 	applied, err := tables.Config.Accept(accepted)
 	if err != nil {
@@ -219,16 +221,16 @@
 	events.Record(event.Event{Kind: event.KindGeneration, Plan: accepted.PlanID, Detail: "source=" + source})
 }
 
-// probeOne tries one seed or dead instance, so that a healed partition is
-// noticed by both sides without a storm.
-func (g *Gossip) probeOne(ctx context.Context) {
-	addresses := g.unreached()
+// probeRandom tries one randomly chosen seed or dead instance, so that both sides detect the end of
+// a network partition without a burst of calls.
+func (g *Gossip) probeRandom(ctx context.Context) {
+	addresses := g.unreachedAddresses()
 	if len(addresses) > 0 {
 		g.probe(ctx, addresses[rand.IntN(len(addresses))])
 	}
 }
 
-func (g *Gossip) unreached() []string {
+func (g *Gossip) unreachedAddresses() []string {
 	var out []string
 	known := map[string]bool{}
 	for _, m := range g.tables.Members.All() {
--- a/peer/partners.go
+++ b/peer/partners.go
@@ -10,14 +10,15 @@
 	"github.com/martenport/martenport/table"
 )
 
-// ringPartners is how many instances of the own failure domain each instance
-// asks for changes: the next ones on a ring of hashed names, at distances that
-// double. The ring has no end, so each instance is also asked by as many.
+// ringPartners is the number of instances of the own failure domain from which each instance
+// requests changes. They are its successors, at increasing distances, on a ring of instances sorted
+// by the hashes of their names. Since the ring is closed, each instance also receives requests from
+// as many.
 const ringPartners = 3
 
-// Partners returns the instances that self asks for changes: a few of its own
-// failure domain, and one of each other domain. The number does not grow with
-// the fleet, only with the domains.
+// Partners returns the instances from which self requests changes: ringPartners of its own failure
+// domain and one of each other domain. Their number grows only with the number of domains, not with
+// the number of instances.
 func Partners(self table.Member, alive []table.Member) []table.Member {
 	domains := map[string][]table.Member{}
 	for _, m := range alive {
@@ -48,6 +49,6 @@
 	return out
 }
 
-// ringStride sets the distances on the ring: 1, 5 and 21 places away, which
-// keeps the way across a domain of 83 instances to a handful of hops.
+// ringStride is the factor by which the steps on the ring grow. Partners are 1, 5 and 21 places
+// away, which keeps the path across a domain of 83 instances to a few hops.
 const ringStride = 4
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,6 +1,5 @@
-// Package peer is the protocol between martenport's own processes, over
-// net/rpc: an exchange of table changes, and calls to the instance that holds
-// a model's wake or orders an engine.
+// Package peer implements the protocol between instances, over net/rpc: the exchange of table
+// changes, and calls to the instance that coordinates a model's wake or orders an engine.
 package peer
 
 import (
@@ -16,50 +15,50 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// ErrUnreachable: the instance did not answer; the call may have been carried
-// out. Every peer call may be repeated.
+// ErrUnreachable is returned when the instance did not answer. The call may have been executed;
+// every peer call may safely be repeated.
 var ErrUnreachable = errors.New("peer: instance did not answer")
 
-// Header travels with each call and each answer.
+// Header is part of the arguments of each call.
 type Header struct {
 	From  string
 	Stamp event.Stamp
-	// TimeoutMS is the time that the caller will wait.
+	// TimeoutMS is how long the caller waits for the reply, in milliseconds; 0 means no deadline.
 	TimeoutMS int64
 }
 
-// Reply travels with each answer.
+// Reply is part of each reply.
 type Reply struct {
 	Stamp event.Stamp
-	// Failure is set when the call was refused.
+	// Failure is set when the call failed or was refused.
 	Failure *verdict.Failure
 }
 
-// head gives access to what all answers have.
-func (r *Reply) head() *Reply { return r }
+// base returns the Reply embedded in each reply.
+func (r *Reply) base() *Reply { return r }
 
-// answer is a pointer to any of the answers.
-type answer[R any] interface {
+// replyPointer is a pointer to any of the reply types.
+type replyPointer[R any] interface {
 	*R
-	head() *Reply
+	base() *Reply
 }
 
-// ExchangeArgs asks for what changed after Since.
+// ExchangeArgs requests the changes after sequence number Since.
 type ExchangeArgs struct {
 	Header
-	// Incarnation is that of the answering instance, as known from its last
-	// answer; Since is of no use to another one.
+	// Incarnation is the incarnation of the called instance, from its last reply. Since is valid
+	// for that incarnation only.
 	Incarnation   int64
 	Since         uint64
 	FailureDomain string
-	// WaitMS is how long to wait when nothing has changed.
+	// WaitMS is how long to wait for a change, in milliseconds.
 	WaitMS int64
-	// Introduce, at first contact, holds the asking instance's own entry and
-	// its view of the answering one.
+	// Introduce is set in the first exchange. It contains the calling instance's own entry and the
+	// entry that it has of the called one.
 	Introduce []table.Member
 }
 
-// ExchangeReply brings the changes.
+// ExchangeReply contains the changes.
 type ExchangeReply struct {
 	Reply
 	Incarnation int64
@@ -67,87 +66,87 @@
 	Delta       table.Delta
 }
 
-// ConfigArgs asks for the declaration in force.
+// ConfigArgs requests the declaration in force.
 type ConfigArgs struct{ Header }
 
-// ConfigReply brings it; Accepted is nil when there is none.
+// ConfigReply contains the declaration in force; Accepted is nil if there is none.
 type ConfigReply struct {
 	Reply
 	Accepted *table.Accepted
 }
 
-// WakeArgs asks the holder of a unit's wake to have it loaded somewhere.
+// WakeArgs requests that the coordinator of a unit's wakes load the unit on some engine.
 type WakeArgs struct {
 	Header
 	Unit backend.Unit
-	// LatestMS is how long from now the last request waits for it.
+	// LatestMS is how long from now any request waits for the unit, in milliseconds.
 	LatestMS int64
-	// Replicas is how many there are already, of which there should be one
-	// more; 0 asks for one at all.
+	// Replicas is the number of existing replicas if one more is requested; 0 requests the first
+	// one.
 	Replicas int
 }
 
-// WakeReply names an engine on which the unit is resident.
+// WakeReply contains the name of an engine on which the unit is resident.
 type WakeReply struct {
 	Reply
 	Engine string
-	// Residency of the engine, so that the asking instance need not wait to
-	// hear of it; nil when it is not known here.
+	// Residency is the state of the engine, so that the caller need not wait for the next exchange;
+	// nil if it is not known to the called instance.
 	Residency *table.Residency
 }
 
-// OrderArgs asks the orderer of an engine to load a unit or yield its slot.
+// OrderArgs requests that the orderer of an engine load a unit or release its slot.
 type OrderArgs struct {
 	Header
 	Engine string
 	Unit   backend.Unit
 }
 
-// OrderReply says that it is done, or why not.
+// OrderReply reports success, or the failure in Reply.
 type OrderReply struct {
 	Reply
-	// Residency of the engine after a load.
+	// Residency is the state of the engine after a load.
 	Residency *table.Residency
 }
 
-// StreamArgs asks the gate of a failure domain for a stream of the weight store.
+// StreamArgs requests a stream of the weight store from the gate of a failure domain.
 type StreamArgs struct {
 	Header
 	Engine, Unit string
 	Bytes        int64
-	// LatestMS is how long from now the load is of use.
+	// LatestMS is how long from now the result of the load can be used, in milliseconds.
 	LatestMS int64
 }
 
-// StreamReply says that it is granted, or why not.
+// StreamReply reports that the stream is granted, or the failure in Reply.
 type StreamReply struct{ Reply }
 
-// EventsArgs asks for the events that pass a filter.
+// EventsArgs requests the events that match a filter.
 type EventsArgs struct {
 	Header
 	Filter event.Filter
 }
 
-// EventsReply brings them, oldest first.
+// EventsReply contains the matching events, oldest first.
 type EventsReply struct {
 	Reply
 	Events []event.Event
 }
 
-// RunArgs asks what became of the run of a key that this instance recorded.
+// RunArgs requests the recorded answer of the run with a key that the called instance recorded.
 type RunArgs struct {
 	Header
 	Key string
 }
 
-// RunReply brings the answer that is still held.
+// RunReply contains the answer if the called instance still holds it.
 type RunReply struct {
 	Reply
 	Answer []byte
 }
 
-// Handler answers the calls of other instances. A returned error reaches the
-// caller as a *verdict.Failure.
+// Handler handles the calls of other instances. A returned error reaches the caller as a
+// *verdict.Failure.
 type Handler interface {
 	Exchange(ctx context.Context, args *ExchangeArgs, reply *ExchangeReply) error
 	Config(ctx context.Context, args *ConfigArgs, reply *ConfigReply) error
@@ -159,19 +158,19 @@
 	Run(ctx context.Context, args *RunArgs, reply *RunReply) error
 }
 
-// Client calls other instances, over one connection each.
+// Client calls other instances, over one connection to each.
 type Client struct {
 	self  string
 	clock *event.Clock
 	pool  *rpcpool.Pool
 }
 
-// NewClient returns a client that calls in the name of instance self.
+// NewClient returns a client whose calls name self as the calling instance.
 func NewClient(self string, clock *event.Clock, dial rpcpool.Dial) *Client {
 	return &Client{self: self, clock: clock, pool: rpcpool.New(dial)}
 }
 
-// Header returns the header of a call made now under ctx.
+// Header returns the header for a call made now with the deadline of ctx.
 func (c *Client) Header(ctx context.Context) Header {
 	h := Header{From: c.self, Stamp: c.clock.Now()}
 	if deadline, set := ctx.Deadline(); set {
@@ -180,23 +179,23 @@
 	return h
 }
 
-// invoke makes one call. The error is ErrUnreachable or the answer's Failure.
-// An answer that comes after ctx has ended is never looked at.
-func invoke[R any, P answer[R]](ctx context.Context, c *Client, address, method string, args any) (R, error) {
-	var none R
+// invoke makes one call. The error is ErrUnreachable or the Failure in the reply. A reply that
+// arrives after ctx has ended is not read.
+func invoke[R any, P replyPointer[R]](ctx context.Context, c *Client, address, method string, args any) (R, error) {
+	var zero R
 	reply := P(new(R))
 	if err := c.pool.Call(ctx, address, method, args, reply); err != nil {
-		return none, errors.Wrap(ErrUnreachable, err.Error())
+		return zero, errors.Wrap(ErrUnreachable, err.Error())
 	}
-	c.clock.Observe(reply.head().Stamp)
-	if f := reply.head().Failure; f != nil {
+	c.clock.Observe(reply.base().Stamp)
+	if f := reply.base().Failure; f != nil {
 		return *reply, f
 	}
 	return *reply, nil
 }
 
-// Disconnect closes the connection to an instance that does not answer, so
-// that the next call opens a new one.
+// Disconnect closes the connection to an instance that does not answer, so that the next call opens
+// a new one.
 func (c *Client) Disconnect(address string) { c.pool.Disconnect(address) }
 
 // Close closes all connections.
--- a/peer/server.go
+++ b/peer/server.go
@@ -10,15 +10,15 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// maxCall bounds a call whose caller gives no time.
-const maxCall = 10 * time.Second
+// defaultCallTimeout bounds a call whose caller sets no timeout.
+const defaultCallTimeout = 10 * time.Second
 
 // Server serves a Handler over net/rpc.
 type Server struct {
 	rpc *rpc.Server
 }
 
-// NewServer returns a server of handler.
+// NewServer returns a server that passes calls to handler.
 func NewServer(handler Handler, clock *event.Clock) *Server {
 	s := rpc.NewServer()
 	if err := s.RegisterName("Peer", &service{handler, clock}); err != nil {
@@ -27,7 +27,7 @@
 	return &Server{rpc: s}
 }
 
-// Serve answers connections of l until it is closed.
+// Serve serves connections accepted from l until l is closed.
 func (s *Server) Serve(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -38,16 +38,17 @@
 	}
 }
 
-// service adapts Handler to the method set that net/rpc asks for.
+// service adapts Handler to the method set that net/rpc requires.
 type service struct {
 	handler Handler
 	clock   *event.Clock
 }
 
-// serve runs one call with the time and the clock that its header brings.
+// serve runs one call: it updates the clock from the header, applies the caller's timeout, and
+// stores a returned error in reply.
 func (s *service) serve(h Header, reply *Reply, run func(context.Context) error) error {
 	s.clock.Observe(h.Stamp)
-	timeout := maxCall
+	timeout := defaultCallTimeout
 	if h.TimeoutMS > 0 {
 		timeout = time.Duration(h.TimeoutMS) * time.Millisecond
 	}
