--- a/command/access/access.go
+++ b/command/access/access.go
@@ -114,7 +114,7 @@
 // Authorize returns the workspace of a request for a route, nil if the request needs no key, or the
 // reason why it may not run.
 func Authorize(c *serving.Config, route *serving.Route, credential serving.Credential, f Freshness, p Policy) (*serving.Workspace, *verdict.Failure) {
-	if !c.Guarded() || route.Public {
+	if !c.KeysRequired() || route.Public {
 		return nil, nil
 	}
 	if !p.KeysTrusted(f.Age) {
--- a/command/backpressure/backpressure.go
+++ b/command/backpressure/backpressure.go
@@ -62,15 +62,15 @@
 
 // limitOf returns the limit in a server's advisory.
 func limitOf(a serving.Advisory) Limit {
-	return Limit{Server: a.Server, Born: a.Born, Advertised: a.Limited, Rate: a.Rate, SentAt: a.Sent, ReadAt: a.Heard}
+	return Limit{Server: a.Server, Born: a.Born, Advertised: a.Limited, Rate: a.Rate, SentAt: a.SentAt, ReadAt: a.ReceivedAt}
 }
 
 // supersedes reports whether l replaces the known limit.
 func (l Limit) supersedes(known Limit) bool {
 	switch {
-	case serving.BornBefore(known.Born, l.Born):
+	case serving.StartedBefore(known.Born, l.Born):
 		return true
-	case serving.BornBefore(l.Born, known.Born):
+	case serving.StartedBefore(l.Born, known.Born):
 		return false
 	case !l.SentAt.Before(known.ReadAt):
 		return true
--- a/command/backpressure/ledger.go
+++ b/command/backpressure/ledger.go
@@ -135,11 +135,11 @@
 // several periods the one that ends last applies, since a server that later asks for a shorter one has
 // not withdrawn the longer one. The ledger's mu must be held.
 func (e *entry) observeRetryAfter(a serving.Advisory, now time.Time) bool {
-	if serving.BornBefore(e.born, a.Born) {
+	if serving.StartedBefore(e.born, a.Born) {
 		e.retryAfter = time.Time{}
 	}
-	until := a.Heard.Add(a.RetryAfter)
-	if a.RetryAfter == 0 || serving.BornBefore(a.Born, e.born) || !until.After(e.retryAfter) || !until.After(now) {
+	until := a.ReceivedAt.Add(a.RetryAfter)
+	if a.RetryAfter == 0 || serving.StartedBefore(a.Born, e.born) || !until.After(e.retryAfter) || !until.After(now) {
 		return false
 	}
 	active := e.retryAfter.After(now)
@@ -153,7 +153,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[s.ID]
-	if e == nil || !e.known || !e.limit.Advertised || !s.SameLife(e.limit.Born) {
+	if e == nil || !e.known || !e.limit.Advertised || !s.MayBeSameProcess(e.limit.Born) {
 		return 0, false
 	}
 	return e.limit.Rate, true
@@ -190,7 +190,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[s.ID]
-	if e == nil || !s.SameLife(e.born) {
+	if e == nil || !s.MayBeSameProcess(e.born) {
 		return time.Time{}
 	}
 	return e.retryAfter
--- a/command/backpressure/ledger_test.go
+++ b/command/backpressure/ledger_test.go
@@ -17,12 +17,12 @@
 // limitAdvisory returns an advisory with a limit, for a request sent and an answer read at the given
 // times in milliseconds.
 func limitAdvisory(rate float64, sent, heard int) serving.Advisory {
-	return serving.Advisory{Server: "e", Limited: true, Rate: rate, Sent: at(sent), Heard: at(heard)}
+	return serving.Advisory{Server: "e", Limited: true, Rate: rate, SentAt: at(sent), ReceivedAt: at(heard)}
 }
 
 // noLimitAdvisory returns an advisory without a limit.
 func noLimitAdvisory(sent, heard int) serving.Advisory {
-	return serving.Advisory{Server: "e", Sent: at(sent), Heard: at(heard)}
+	return serving.Advisory{Server: "e", SentAt: at(sent), ReceivedAt: at(heard)}
 }
 
 var server = serving.Server{ID: "e"}
@@ -44,11 +44,11 @@
 		"confirmed, then one from between": {advisories: []serving.Advisory{limitAdvisory(2, 0, 5), limitAdvisory(2, 20, 25), noLimitAdvisory(10, 30)}, rate: 2, limited: true},
 		"lowered by one from before":       {advisories: []serving.Advisory{limitAdvisory(4, 3, 5), limitAdvisory(2, 1, 9)}, rate: 2, limited: true},
 		"nothing at all":                   {advisories: []serving.Advisory{limitAdvisory(0, 0, 5)}, limited: true},
-		"not readable":                     {advisories: []serving.Advisory{limitAdvisory(2, 0, 5), {Server: "e", LimitUnknown: true, Unreadable: "x", Sent: at(6), Heard: at(9)}}, rate: 2, limited: true},
+		"not readable":                     {advisories: []serving.Advisory{limitAdvisory(2, 0, 5), {Server: "e", LimitUnknown: true, Unreadable: "x", SentAt: at(6), ReceivedAt: at(9)}}, rate: 2, limited: true},
 	} {
 		l := NewLedger()
 		for _, a := range c.advisories {
-			l.Observe(a, a.Heard)
+			l.Observe(a, a.ReceivedAt)
 		}
 		if rate, limited := l.Limit(server); rate != c.rate || limited != c.limited {
 			t.Errorf("%s: %v, %v, want %v, %v", name, rate, limited, c.rate, c.limited)
@@ -80,7 +80,7 @@
 func TestLatestRetryAfterWins(t *testing.T) {
 	l := NewLedger()
 	retryAfter := func(heard int, d time.Duration) Change {
-		return l.Observe(serving.Advisory{Server: "e", RetryAfter: d, Sent: at(heard - 1), Heard: at(heard)}, at(heard))
+		return l.Observe(serving.Advisory{Server: "e", RetryAfter: d, SentAt: at(heard - 1), ReceivedAt: at(heard)}, at(heard))
 	}
 	if c := retryAfter(100, 3*time.Second); !c.RetryAfter {
 		t.Error("a retry-after period was not reported as a change")
--- a/command/forward/access.go
+++ b/command/forward/access.go
@@ -54,7 +54,7 @@
 
 // withWorkspacePriority returns the route with the priority of the workspace, if that has one.
 func withWorkspacePriority(route *serving.Route, w *serving.Workspace) *serving.Route {
-	if !w.Ranked || w.Priority == route.Priority {
+	if !w.HasPriority || w.Priority == route.Priority {
 		return route
 	}
 	ranked := *route
--- a/command/forward/access_test.go
+++ b/command/forward/access_test.go
@@ -47,7 +47,7 @@
 		config.Routes[i].Priority = 1
 	}
 	config.Workspaces = []serving.Workspace{{
-		Name: "w1", Keys: []serving.KeyDigest{serving.DigestKey(testKey)}, Ranked: true, Priority: 3,
+		Name: "w1", Keys: []serving.KeyDigest{serving.DigestKey(testKey)}, HasPriority: true, Priority: 3,
 		Limit: serving.Limit{Tokens: true, Rate: 100, Burst: 100, Plain: 7},
 	}}
 	if err := config.Index(); err != nil {
@@ -71,9 +71,9 @@
 	key := serving.Credential{Form: serving.KeyGiven, Digest: serving.DigestKey(testKey)}
 	other := serving.Credential{Form: serving.KeyGiven, Digest: serving.DigestKey("another")}
 	sized := keyed("unsafe", key)
-	sized.Sized, sized.PromptTokens, sized.OutputTokens = true, 30, 12
+	sized.HasTokenCount, sized.PromptTokens, sized.OutputTokens = true, 30, 12
 	unreadable := keyed("unsafe", key)
-	unreadable.Sized, unreadable.BadSize = true, true
+	unreadable.HasTokenCount, unreadable.InvalidTokenCount = true, true
 	for name, c := range map[string]struct {
 		request     *serving.Request
 		reply       reply
@@ -107,8 +107,8 @@
 			t.Errorf("%s: %d sends", name, len(f.servers.attempts))
 		}
 		for _, a := range f.servers.attempts {
-			if a.Workspace != c.workspace || !a.Guarded {
-				t.Errorf("%s: sent as %q, guarded %v; want %q", name, a.Workspace, a.Guarded, c.workspace)
+			if a.Workspace != c.workspace || !a.KeysRequired {
+				t.Errorf("%s: sent as %q, guarded %v; want %q", name, a.Workspace, a.KeysRequired, c.workspace)
 			}
 			if c.workspace != "" && a.Urgency != 3 {
 				t.Errorf("%s: sent with urgency %d and not its workspace's", name, a.Urgency)
--- a/command/forward/forward_test.go
+++ b/command/forward/forward_test.go
@@ -55,7 +55,7 @@
 	}
 	return &serving.Response{
 		Status: r.status, Header: http.Header{"X-Server": {a.Server.ID}}, Body: io.NopCloser(body),
-		NotRun: r.notRun, Misdirected: r.misdir, Events: r.events, Rests: r.rests,
+		NotExecuted: r.notRun, Misdirected: r.misdir, Events: r.events, HasRetryAfter: r.rests,
 	}, nil
 }
 
--- a/command/forward/misdirected_test.go
+++ b/command/forward/misdirected_test.go
@@ -23,7 +23,7 @@
 	resp := &serving.Response{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("done"))}
 	switch {
 	case r.gone[a.Server.ID]:
-		resp.Status, resp.NotRun, resp.Misdirected = http.StatusMisdirectedRequest, true, true
+		resp.Status, resp.NotExecuted, resp.Misdirected = http.StatusMisdirectedRequest, true, true
 	case r.failing:
 		resp.Status = http.StatusInternalServerError
 	}
--- a/command/forward/suspended_test.go
+++ b/command/forward/suspended_test.go
@@ -25,7 +25,7 @@
 	for name, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			var ahead atomic.Int64
-			defer clock.Replace(func() (time.Duration, bool) { return time.Duration(ahead.Load()), true })()
+			defer clock.ReplaceOffsetReader(func() (time.Duration, bool) { return time.Duration(ahead.Load()), true })()
 			f := newFixture(t, reply{status: 200, events: true, body: "id: 1\ndata: x\n\n"})
 			f.placer.place = Place{Engine: "e1", Ready: clock.Now().Add(300 * time.Millisecond)}
 			go func() {
@@ -42,7 +42,7 @@
 				}
 				return
 			}
-			if left := f.servers.attempts[0].Left; left > test.maxRemaining {
+			if left := f.servers.attempts[0].Remaining; left > test.maxRemaining {
 				t.Errorf("%s: sent with %s remaining, want at most %s", name, left, test.maxRemaining)
 			}
 		})
--- a/command/forward/transaction.go
+++ b/command/forward/transaction.go
@@ -86,14 +86,14 @@
 
 // nextOutputDeadline returns when the client gives up if it has received nothing more by then.
 func (t *transaction) nextOutputDeadline() time.Time {
-	if t.route.Patience == 0 {
+	if t.route.ClientIdleTimeout == 0 {
 		return t.deadline
 	}
 	last := t.request.Arrived
 	if t.out.started {
 		last = t.out.lastWrite
 	}
-	if giveUp := last.Add(t.route.Patience); giveUp.Before(t.deadline) {
+	if giveUp := last.Add(t.route.ClientIdleTimeout); giveUp.Before(t.deadline) {
 		return giveUp
 	}
 	return t.deadline
@@ -240,14 +240,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	resp, err := t.f.sender.Send(ctx, serving.Attempt{
-		Request: t.request, Server: server, Left: t.deadline.Sub(now), Urgency: urgency(t.route), ResumeAfter: t.out.lastEventID,
-		Guarded: t.config.Guarded(), Workspace: t.workspaceName(),
+		Request: t.request, Server: server, Remaining: t.deadline.Sub(now), Urgency: urgency(t.route), ResumeAfter: t.out.lastEventID,
+		KeysRequired: t.config.KeysRequired(), Workspace: t.workspaceName(),
 	})
 	if err != nil {
 		return false, t.handleSendFailure(ctx, server, err, now, &outcome)
 	}
 	defer resp.Body.Close()
-	if resp.NotRun {
+	if resp.NotExecuted {
 		outcome = rejectionOutcome(resp)
 		return false, t.handleNotRun(server, resp, &outcome)
 	}
@@ -297,7 +297,7 @@
 // running it. A server that sets a Retry-After is not counted as failing: it receives nothing until
 // then, and afterwards its previous share again.
 func rejectionOutcome(resp *serving.Response) balance.Outcome {
-	if resp.Rests {
+	if resp.HasRetryAfter {
 		return balance.Neutral
 	}
 	return balance.Failed
@@ -321,7 +321,7 @@
 // answerOutcome returns the outcome of an answer for the balancer.
 func (t *transaction) answerOutcome(ctx context.Context, resp *serving.Response, failure *verdict.Failure) balance.Outcome {
 	switch {
-	case errors.Is(ctx.Err(), context.Canceled) && failure != nil, resp.Rests:
+	case errors.Is(ctx.Err(), context.Canceled) && failure != nil, resp.HasRetryAfter:
 		return balance.Neutral
 	case failure != nil || resp.Status >= http.StatusInternalServerError:
 		return balance.Failed
--- a/command/holder/order.go
+++ b/command/holder/order.go
@@ -31,7 +31,7 @@
 			unanswered = true
 		case err != nil:
 			return refused, err
-		case answer == serving.OrderAccepted, answer == serving.OrderHolds:
+		case answer == serving.OrderAccepted, answer == serving.OrderAlreadyDone:
 			return refused, nil
 		case answer == serving.OrderConflict && !unanswered:
 			refused++
@@ -137,7 +137,7 @@
 // ordered has not incremented its sequence number, except for an adapter that it unloaded at once.
 func (w *worker) recordAnswer(o serving.Order, answer serving.OrderAnswer, err error) {
 	w.h.metrics.countOrder(answer)
-	incremented := answer == serving.OrderAccepted || answer == serving.OrderHolds && o.Unload && o.Unit.Adapter != ""
+	incremented := answer == serving.OrderAccepted || answer == serving.OrderAlreadyDone && o.Unload && o.Unit.Adapter != ""
 	w.h.mu.Lock()
 	switch {
 	case errors.Is(err, serving.ErrOrderUnknown):
--- a/command/holder/suspended_test.go
+++ b/command/holder/suspended_test.go
@@ -16,7 +16,7 @@
 func TestSuspendedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		suspended := time.Duration(0)
-		defer clock.Replace(func() (time.Duration, bool) { return suspended, true })()
+		defer clock.ReplaceOffsetReader(func() (time.Duration, bool) { return suspended, true })()
 		platform := standin.NewPlatform()
 		engine := &recordingEngine{fakeEngine: fakeEngine{models: map[string][]string{}}}
 		before := newTestHolder("a", platform, engine, time.Second, "m1")
--- a/command/holder/worker.go
+++ b/command/holder/worker.go
@@ -296,7 +296,7 @@
 	defer cancel()
 	w.h.metrics.reports.Inc()
 	report, err := w.h.engines.Report(ctx, server)
-	if err == nil && !server.SameLife(report.Born) {
+	if err == nil && !server.MayBeSameProcess(report.Born) {
 		return report, errors.Wrap(errEngine, "report is from another process with the same engine id")
 	}
 	return report, err
--- a/command/replicas/fleet.go
+++ b/command/replicas/fleet.go
@@ -165,7 +165,7 @@
 		}
 		seen[s.ID] = true
 		e := f.engines[s.ID]
-		if e == nil || e.Server.Before(s) {
+		if e == nil || e.Server.IsEarlierProcess(s) {
 			e = restarted(e, s)
 			f.engines[s.ID] = e
 			f.index = index{}
@@ -211,7 +211,7 @@
 	if e == nil {
 		return
 	}
-	if !e.Server.SameLife(r.Born) {
+	if !e.Server.MayBeSameProcess(r.Born) {
 		e.fail(now)
 		return
 	}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -124,16 +124,16 @@
 	if found && s.Revision <= known.Revision {
 		return false
 	}
-	if found && s.Before(known) {
+	if found && s.IsEarlierProcess(known) {
 		return false
 	}
-	if found && known.Before(s) {
+	if found && known.IsEarlierProcess(s) {
 		delete(d.views, s.ID)
 		delete(d.missingUnits, s.ID)
 	}
 	delete(d.removed, s.ID)
 	record, draining := d.draining[s.ID]
-	if draining && serving.BornBefore(record.born, s.Born) {
+	if draining && serving.StartedBefore(record.born, s.Born) {
 		delete(d.draining, s.ID)
 		draining = false
 	}
--- a/directory/leaving.go
+++ b/directory/leaving.go
@@ -22,11 +22,11 @@
 	defer d.mu.Unlock()
 	s, live := d.servers[l.ID]
 	known, draining := d.draining[l.ID]
-	if live && serving.BornBefore(l.Born, s.Born) || draining && !serving.BornBefore(known.born, l.Born) {
+	if live && serving.StartedBefore(l.Born, s.Born) || draining && !serving.StartedBefore(known.born, l.Born) {
 		return false // announced by an earlier process, or already known
 	}
 	d.draining[l.ID] = drainRecord{at: now, born: l.Born, announced: true}
-	if live && s.SameLife(l.Born) && !s.Draining {
+	if live && s.MayBeSameProcess(l.Born) && !s.Draining {
 		d.digest ^= digestOf(s)
 		s.Draining = true
 		d.servers[l.ID] = s
--- a/directory/views.go
+++ b/directory/views.go
@@ -50,7 +50,7 @@
 	d.updateInterval = min(viewTTL, now.Sub(d.lastUpdate))
 	d.lastUpdate, d.otherInstancesLoads = now, others
 	for _, v := range views {
-		if s, live := d.servers[v.Engine]; live && s.SameLife(v.Born) {
+		if s, live := d.servers[v.Engine]; live && s.MayBeSameProcess(v.Born) {
 			d.views[v.Engine] = v
 			delete(d.missingUnits, v.Engine)
 		}
--- a/entry/access.go
+++ b/entry/access.go
@@ -43,7 +43,7 @@
 // keysTrusted reports whether requests that need a key are served. It is true if the configuration
 // requires no keys.
 func (g *accessControl) keysTrusted(config *serving.Config, known access.Freshness) bool {
-	return config == nil || !config.Guarded() || g.Policy().KeysTrusted(known.Age)
+	return config == nil || !config.KeysRequired() || g.Policy().KeysTrusted(known.Age)
 }
 
 // trustCheckInterval is how often run checks, for the log, whether keys are relied on.
@@ -78,7 +78,7 @@
 // Policy implements forward.Access.
 func (g *accessControl) Policy() access.Policy {
 	s := g.settings()
-	return access.Policy{FailClosed: s.Bounds.RevokeFailClosed, Bound: s.RevokeBound(), PropagationBound: s.ConfigurationBound()}
+	return access.Policy{FailClosed: s.Bounds.RevokeFailClosed, Bound: s.RevokeBound(), PropagationBound: s.ConfigApplyBound()}
 }
 
 // holderResponds reports whether the holder has answered within holderTimeout.
--- a/entry/crashcheck.go
+++ b/entry/crashcheck.go
@@ -113,7 +113,7 @@
 	if w == nil {
 		return false
 	}
-	if presence == serving.PresenceThere {
+	if presence == serving.PresenceRunning {
 		w.dropFailuresBefore(start)
 		w.lastSeen = clock.Now()
 		again = len(w.failures) > 0
@@ -133,11 +133,11 @@
 		presence := c.backends.Presence(ctx, s, c.isEngine(s))
 		cancel()
 		switch presence {
-		case serving.PresenceThere, serving.PresenceEnded:
+		case serving.PresenceRunning, serving.PresenceEnded:
 			return presence
 		case serving.PresenceConnects:
 			if connects++; connects == minConnects {
-				return serving.PresenceThere
+				return serving.PresenceRunning
 			}
 		}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -114,7 +114,7 @@
 	i.holder = holder.New(holderParams, i.client, i.backends, i.dir, holder.NewMetrics(i.set), log)
 	i.members = &members{store: i.client, self: member{Name: s.NodeName, Address: s.PeerAddress(), Domain: s.Zone, Cores: s.Cores()}, log: log, eraChanged: make(chan struct{}, 1)}
 	i.limiter = newServerLimiter(s.NodeName, i.dir, i.members, i.set, log)
-	i.backends.Listen(i.limiter.observe)
+	i.backends.OnAdvisory(i.limiter.observe)
 	i.holder.SetServerLimits(lendableLimits{i.limiter.ledger})
 	i.follower = newFollower(s.NodeName, i.holder, i.dir, rpcpool.New(n.peers), i.members, log)
 	maxUpdateAge := func() time.Duration { return updateLifetime(i.settings.Load()) }
@@ -135,9 +135,9 @@
 	i.follower.onEscalations, i.watcher.crashes = i.quarantine.recordReceived, i.crashes
 	i.service = &service{holder: i.holder, follower: i.follower, quarantine: i.quarantine, trials: quarantine.NewTrials(), limiter: i.limiter, storeAge: i.watcher.storeAge}
 	i.follower.self = i.service
-	i.startDomains = s.SharingDomains()
+	i.startDomains = s.RetryBudgetDomains()
 	i.budget = forward.NewBudget(i.budgetParams(&s))
-	i.follower.budget, i.follower.domain = i.budget, s.SharingDomain()
+	i.follower.budget, i.follower.domain = i.budget, s.RetryBudgetDomain()
 	i.counts = forward.NewCounts(i.set)
 	i.access = newAccessControl(i.follower, i.settings.Load, i.set)
 	i.forwarder = forward.New(forward.DefaultParams(s.Zone), i.dir, i.backends, i.follower, i.balancer, i.budget, &crashGuard{crashDetector: i.crashes, follower: i.follower}, i.access, i.limiter, i.counts, log)
@@ -338,7 +338,7 @@
 	i.set.NewGauge("martenport_holder", func() float64 { return float64(i.holder.Fence()) })
 	for kind, count := range map[string]*atomic.Int64{
 		"read": &i.client.Calls().Reads, "stale_read": &i.client.Calls().StaleReads, "write": &i.client.Calls().Writes, "watch": &i.client.Calls().Watches, "failed": &i.client.Calls().Failures,
-		"unreadable": &i.client.Calls().Unreadable,
+		"unreadable": &i.client.Calls().MalformedObjects,
 	} {
 		i.set.NewGauge(`martenport_store_calls{kind="`+kind+`"}`, func() float64 { return float64(count.Load()) })
 	}
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -56,7 +56,7 @@
 	defer f.store.SetDown(false)
 	told := slices.IndexFunc(f.instances, func(r *running) bool { return r != f.holder() })
 	now := clock.Now()
-	f.instances[told].limiter.observe(serving.Advisory{Server: "e1", Sent: now, Heard: now, Leaving: true})
+	f.instances[told].limiter.observe(serving.Advisory{Server: "e1", SentAt: now, ReceivedAt: now, Leaving: true})
 	f.await("known everywhere", func() bool {
 		return !slices.ContainsFunc(f.instances, func(r *running) bool {
 			s, _ := r.dir.Server("e1")
--- a/entry/members.go
+++ b/entry/members.go
@@ -228,7 +228,7 @@
 	if fresh {
 		return known
 	}
-	if !m.readList(store.AllowStale(ctx)) {
+	if !m.readList(store.WithStaleReads(ctx)) {
 		return known
 	}
 	m.mu.Lock()
--- a/entry/operators_intake_test.go
+++ b/entry/operators_intake_test.go
@@ -21,8 +21,8 @@
 	f.await("a holder", func() bool { return f.holder() != nil })
 	f.servers["e1"].Say(standin.Words{Limit: "1.5", Leaving: true}) // the holder may read it meanwhile
 	now := clock.Now()
-	r.limiter.observe(serving.Advisory{Server: "e1", Sent: now, Heard: now, Limited: true, Rate: 1.5, Leaving: true})
-	r.limiter.observe(serving.Advisory{Server: "e2", Sent: now, Heard: now, RetryAfter: time.Minute})
+	r.limiter.observe(serving.Advisory{Server: "e1", SentAt: now, ReceivedAt: now, Limited: true, Rate: 1.5, Leaving: true})
+	r.limiter.observe(serving.Advisory{Server: "e2", SentAt: now, ReceivedAt: now, RetryAfter: time.Minute})
 	status, err := operatorsOf(r).GetStatus(t.Context(), connect.NewRequest(&martenportv1.GetStatusRequest{}))
 	if err != nil || len(status.Msg.Engines) != 2 {
 		t.Fatalf("%v, %v", status, err)
--- a/entry/ratelimit_test.go
+++ b/entry/ratelimit_test.go
@@ -177,11 +177,11 @@
 		}
 	}
 	now := clock.Now()
-	told.observe(serving.Advisory{Server: "p1", Sent: now, Heard: now, Limited: true, Rate: 1.5})
+	told.observe(serving.Advisory{Server: "p1", SentAt: now, ReceivedAt: now, Limited: true, Rate: 1.5})
 	f.await("known everywhere", everywhere(true))
 	f.await("over everywhere", func() bool { // further answers say so, too
 		now := clock.Now()
-		told.observe(serving.Advisory{Server: "p1", Sent: now, Heard: now})
+		told.observe(serving.Advisory{Server: "p1", SentAt: now, ReceivedAt: now})
 		return everywhere(false)()
 	})
 }
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -68,6 +68,6 @@
 // lower number would make each domain's part too large.
 func (i *Instance) budgetParams(s *platform.Settings) forward.BudgetParams {
 	return forward.BudgetParams{
-		Ratio: s.Bounds.BudgetRatio, Extra: s.Bounds.BudgetExtra, Window: s.BudgetWindow(), Domains: max(i.startDomains, s.SharingDomains()),
+		Ratio: s.Bounds.BudgetRatio, Extra: s.Bounds.BudgetExtra, Window: s.BudgetWindow(), Domains: max(i.startDomains, s.RetryBudgetDomains()),
 	}
 }
--- a/entry/serverlimiter.go
+++ b/entry/serverlimiter.go
@@ -72,12 +72,12 @@
 	if changed == (backpressure.Change{}) {
 		return // the usual case, since every answer has an advisory
 	}
-	log := i.log.WithFields(logrus.Fields{"server": w.Server, "born": w.Born, "sent_ms": clock.Since(w.Sent).Milliseconds()})
+	log := i.log.WithFields(logrus.Fields{"server": w.Server, "born": w.Born, "sent_ms": clock.Since(w.SentAt).Milliseconds()})
 	if changed.Limit {
 		log.WithFields(logrus.Fields{"limited": w.Limited, "rate": w.Rate, "source": "answer"}).Info("server's limit changed")
 		i.reportChange()
 		// Read now because the store may be unavailable when the list is needed.
-		go i.members.lastKnown(store.AllowStale(context.Background()))
+		go i.members.lastKnown(store.WithStaleReads(context.Background()))
 	}
 	if changed.RetryAfter {
 		log.WithField("rest_ms", w.RetryAfter.Milliseconds()).Info("server asks for rest")
--- a/entry/staleness.go
+++ b/entry/staleness.go
@@ -28,7 +28,7 @@
 // within the deployment's bounds for noticing a leaving server and for applying a configuration.
 func updateLifetime(s *platform.Settings) time.Duration {
 	bound := s.DrainBound()
-	if config := s.ConfigurationBound(); config > 0 {
+	if config := s.ConfigApplyBound(); config > 0 {
 		bound = min(bound, config)
 	}
 	return max(minUpdateLifetime, bound-directReadTime)
--- a/entry/takeover.go
+++ b/entry/takeover.go
@@ -60,7 +60,7 @@
 // new holder also announces itself. Before it acts on the lease, the instance reads the record again
 // with a fresh answer.
 func (f *follower) findStale(ctx context.Context) {
-	record, revision, ok := f.readRecord(store.AllowStale(ctx))
+	record, revision, ok := f.readRecord(store.WithStaleReads(ctx))
 	if !ok {
 		return
 	}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -156,7 +156,7 @@
 		}
 		started := clock.Exact()
 		hold := w.watchDuration()
-		snap, err := w.readOrWatch(store.WaitAtMost(ctx, hold), prefix, revision)
+		snap, err := w.readOrWatch(store.WithMaxWait(ctx, hold), prefix, revision)
 		w.recordCall(prefix, started, revision >= 0, err)
 		if err != nil && revision >= 0 {
 			revision = -1 // list again: the store may answer a List even if a watch gets no answer
--- a/entry/watch_apply.go
+++ b/entry/watch_apply.go
@@ -102,7 +102,7 @@
 	w.mu.Unlock()
 	_, known := w.dir.Server(server.ID)
 	w.crashes.handleAnnounced(server)
-	if before, found := w.dir.Server(server.ID); found && before.Before(server) {
+	if before, found := w.dir.Server(server.ID); found && before.IsEarlierProcess(server) {
 		w.backends.Forget(server.ID) // the connections are to the previous process
 		w.balancer.Forget(server.ID)
 	}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -104,9 +104,9 @@
 	return time.Duration(t.Nano())
 }
 
-// Replace sets the function that reads the offset between the two clocks, until the returned
-// function is called. It is for tests, which cannot suspend the machine.
-func Replace(read func() (time.Duration, bool)) (restore func()) {
+// ReplaceOffsetReader sets the function that reads the offset between the two clocks, until the
+// returned function is called. It is for tests, which cannot suspend the machine.
+func ReplaceOffsetReader(read func() (time.Duration, bool)) (restore func()) {
 	reset(read)
 	return func() { reset(readOffset) }
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,7 +11,7 @@
 func TestSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		offset, ok := time.Duration(0), true
-		defer Replace(func() (time.Duration, bool) { return offset, ok })()
+		defer ReplaceOffsetReader(func() (time.Duration, bool) { return offset, ok })()
 		began := Exact()
 		step := func(newOffset time.Duration, readable bool, want time.Duration) {
 			t.Helper()
--- a/serving/advisory.go
+++ b/serving/advisory.go
@@ -9,9 +9,9 @@
 	// announced.
 	Server string
 	Born   int64
-	// Sent is when the request was sent and Heard when the headers of its response were read. Responses may arrive
+	// SentAt is when the request was sent and ReceivedAt when the headers of its response were read. Responses may arrive
 	// out of order.
-	Sent, Heard time.Time
+	SentAt, ReceivedAt time.Time
 	// Leaving is set if the server is about to end and should get no new requests.
 	Leaving bool
 	// Limited is set if the server accepts at most Rate requests per second from all instances together.
--- a/serving/config.go
+++ b/serving/config.go
@@ -35,9 +35,9 @@
 	Timeout time.Duration
 	// Objective is the latency objective: to the response, or to a stream's first event.
 	Objective time.Duration
-	// Patience is how long clients wait for the first event, and between events, before they disconnect; 0 if they
-	// wait until their timeout.
-	Patience time.Duration
+	// ClientIdleTimeout is how long clients wait for the first event, and between events, before they disconnect;
+	// 0 if they wait until their timeout.
+	ClientIdleTimeout time.Duration
 	// Priority ranks requests; 0 is the highest.
 	Priority int
 	// Targets share the route's requests by weight.
--- a/serving/order.go
+++ b/serving/order.go
@@ -33,8 +33,8 @@
 const (
 	// OrderAccepted: the engine is executing the order.
 	OrderAccepted OrderAnswer = iota + 1
-	// OrderHolds: the engine already has the requested state.
-	OrderHolds
+	// OrderAlreadyDone: the engine already has the requested state.
+	OrderAlreadyDone
 	// OrderConflict: another order is in progress, or the sequence number differs.
 	OrderConflict
 	// OrderFenced: the engine has seen a higher fencing token.
--- a/serving/presence.go
+++ b/serving/presence.go
@@ -9,8 +9,8 @@
 	PresenceUnknown Presence = iota
 	// PresenceConnects: a process accepts connections at the server's address.
 	PresenceConnects
-	// PresenceThere: the server answers.
-	PresenceThere
+	// PresenceRunning: the server answers.
+	PresenceRunning
 	// PresenceEnded: nothing listens at the server's address, or another process does.
 	PresenceEnded
 )
--- a/serving/request.go
+++ b/serving/request.go
@@ -24,10 +24,10 @@
 	Unit Unit
 	// PromptParts identify the parts of the prompt, shared parts first.
 	PromptParts []string
-	// PromptTokens and OutputTokens are the numbers of tokens that the client announced. Sized is set if it announced
-	// them, and BadSize if the announcement could not be parsed.
-	PromptTokens, OutputTokens int
-	Sized, BadSize             bool
+	// PromptTokens and OutputTokens are the numbers of tokens that the client announced. HasTokenCount is set if it
+	// announced them, and InvalidTokenCount if the announcement could not be parsed.
+	PromptTokens, OutputTokens       int
+	HasTokenCount, InvalidTokenCount bool
 	// Credential identifies the workspace of the request.
 	Credential Credential
 	// Arrived is when the request had been read.
@@ -50,14 +50,14 @@
 type Attempt struct {
 	Request *Request
 	Server  Server
-	// Left is the time that the server has for the request.
-	Left time.Duration
+	// Remaining is the time that the server has for the request.
+	Remaining time.Duration
 	// Urgency is the rank of the attempt at an engine; 0 is the most urgent.
 	Urgency int
 	// ResumeAfter is the last event that the client has received, "" to start from the beginning.
 	ResumeAfter string
-	// Guarded is set if requests carry keys. Keys are not forwarded to servers.
-	Guarded bool
+	// KeysRequired is set if requests carry keys. Keys are not forwarded to servers.
+	KeysRequired bool
 	// Workspace is the workspace of the request; "" if it needs no key.
 	Workspace string
 }
@@ -69,15 +69,15 @@
 	Header http.Header
 	// Body must be closed. Reading fails if the response is cut off.
 	Body io.ReadCloser
-	// NotRun is set if the server stated that the request did not run.
-	NotRun bool
+	// NotExecuted is set if the server stated that the request did not run.
+	NotExecuted bool
 	// Misdirected is set if the address belongs to another server by now, or the unit that the request needs is not
 	// loaded.
 	Misdirected bool
 	// Events is set if the body is a stream of events.
 	Events bool
-	// Rests is set if the server rejected the request and asked for a pause without requests.
-	Rests bool
+	// HasRetryAfter is set if the server rejected the request and asked for a pause without requests.
+	HasRetryAfter bool
 }
 
 // Sender sends attempts to backend servers.
--- a/serving/server.go
+++ b/serving/server.go
@@ -28,18 +28,18 @@
 	Tiers map[string]Tier
 }
 
-// Before reports whether s is an earlier process than other, which has the same ID. It returns false if either start
-// time is not known.
-func (s Server) Before(other Server) bool {
-	return BornBefore(s.Born, other.Born)
+// IsEarlierProcess reports whether s is an earlier process than other, which has the same ID. It returns false
+// if either start time is not known.
+func (s Server) IsEarlierProcess(other Server) bool {
+	return StartedBefore(s.Born, other.Born)
 }
 
-// BornBefore reports whether start time a is earlier than b. It returns false if either is 0, which means not known.
-func BornBefore(a, b int64) bool { return a != 0 && b != 0 && a < b }
+// StartedBefore reports whether start time a is earlier than b. It returns false if either is 0, which means not known.
+func StartedBefore(a, b int64) bool { return a != 0 && b != 0 && a < b }
 
-// SameLife reports whether a process that started at born may be the process of s. It returns true if either start
-// time is not known.
-func (s Server) SameLife(born int64) bool {
+// MayBeSameProcess reports whether a process that started at born may be the process of s. It returns
+// true if either start time is not known.
+func (s Server) MayBeSameProcess(born int64) bool {
 	return s.Born == 0 || born == 0 || s.Born == born
 }
 
--- a/serving/workspace.go
+++ b/serving/workspace.go
@@ -38,10 +38,10 @@
 	Name string
 	// Keys are the digests of the keys of the workspace.
 	Keys []KeyDigest
-	// Ranked is set if requests of the workspace have its Priority instead of that of their route.
-	Ranked   bool
-	Priority int
-	Limit    Limit
+	// HasPriority is set if requests of the workspace have its Priority instead of that of their route.
+	HasPriority bool
+	Priority    int
+	Limit       Limit
 }
 
 // Limit bounds the requests of a workspace at all instances together.
@@ -63,16 +63,16 @@
 	switch {
 	case !l.Tokens:
 		return 1, nil
-	case !r.Sized:
+	case !r.HasTokenCount:
 		return l.Plain, nil
-	case r.BadSize:
+	case r.InvalidTokenCount:
 		return 0, errors.New("the number of tokens cannot be read: give PROMPT,OUTPUT, each 0 or more")
 	}
 	return float64(r.PromptTokens) + float64(r.OutputTokens), nil
 }
 
-// Guarded reports whether requests need a key, except those of public routes.
-func (c *Config) Guarded() bool { return c.Workspaces != nil }
+// KeysRequired reports whether requests need a key, except those of public routes.
+func (c *Config) KeysRequired() bool { return c.Workspaces != nil }
 
 // Limited reports whether any workspace has a limit.
 func (c *Config) Limited() bool {
--- a/store/stale.go
+++ b/store/stale.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// staleKey is the context key of AllowStale.
+// staleKey is the context key of WithStaleReads.
 type staleKey struct{}
 
-// AllowStale returns a context under which Get and List may return data that is seconds old, if the
-// store offers that. Such reads are cheap and are exempt from its rate limits. The caller must
+// WithStaleReads returns a context under which Get and List may return data that is seconds old, if
+// the store offers that. Such reads are cheap and are exempt from its rate limits. The caller must
 // tolerate stale data, as a conditional write on the returned version does.
-func AllowStale(ctx context.Context) context.Context {
+func WithStaleReads(ctx context.Context) context.Context {
 	return context.WithValue(ctx, staleKey{}, true)
 }
 
