--- a/command/backpressure/ledger_test.go
+++ b/command/backpressure/ledger_test.go
@@ -16,13 +16,13 @@
 
 // limitAdvisory returns an advisory with a limit, for a request sent and an answer read at the given
 // times in milliseconds.
-func limitAdvisory(rate float64, sent, heard int) serving.Advisory {
-	return serving.Advisory{Server: "e", Limited: true, Rate: rate, SentAt: at(sent), ReceivedAt: at(heard)}
+func limitAdvisory(rate float64, sent, received int) serving.Advisory {
+	return serving.Advisory{Server: "e", Limited: true, Rate: rate, SentAt: at(sent), ReceivedAt: at(received)}
 }
 
 // noLimitAdvisory returns an advisory without a limit.
-func noLimitAdvisory(sent, heard int) serving.Advisory {
-	return serving.Advisory{Server: "e", SentAt: at(sent), ReceivedAt: at(heard)}
+func noLimitAdvisory(sent, received int) serving.Advisory {
+	return serving.Advisory{Server: "e", SentAt: at(sent), ReceivedAt: at(received)}
 }
 
 var server = serving.Server{ID: "e"}
@@ -79,8 +79,8 @@
 // TestLatestRetryAfterWins: of overlapping retry-after periods, the one that ends last applies.
 func TestLatestRetryAfterWins(t *testing.T) {
 	l := NewLedger()
-	retryAfter := func(heard int, d time.Duration) Change {
-		return l.Observe(serving.Advisory{Server: "e", RetryAfter: d, SentAt: at(heard - 1), ReceivedAt: at(heard)}, at(heard))
+	retryAfter := func(received int, d time.Duration) Change {
+		return l.Observe(serving.Advisory{Server: "e", RetryAfter: d, SentAt: at(received - 1), ReceivedAt: at(received)}, at(received))
 	}
 	if c := retryAfter(100, 3*time.Second); !c.RetryAfter {
 		t.Error("a retry-after period was not reported as a change")
--- a/command/forward/access.go
+++ b/command/forward/access.go
@@ -57,9 +57,9 @@
 	if !w.HasPriority || w.Priority == route.Priority {
 		return route
 	}
-	ranked := *route
-	ranked.Priority = w.Priority
-	return &ranked
+	prioritized := *route
+	prioritized.Priority = w.Priority
+	return &prioritized
 }
 
 // recordRejection logs and counts a request that may not run.
--- a/command/forward/access_test.go
+++ b/command/forward/access_test.go
@@ -70,10 +70,10 @@
 func TestRequestWorkspace(t *testing.T) {
 	key := serving.Credential{Form: serving.KeyGiven, Digest: serving.DigestKey(testKey)}
 	other := serving.Credential{Form: serving.KeyGiven, Digest: serving.DigestKey("another")}
-	sized := keyed("unsafe", key)
-	sized.HasTokenCount, sized.PromptTokens, sized.OutputTokens = true, 30, 12
-	unreadable := keyed("unsafe", key)
-	unreadable.HasTokenCount, unreadable.InvalidTokenCount = true, true
+	counted := keyed("unsafe", key)
+	counted.HasTokenCount, counted.PromptTokens, counted.OutputTokens = true, 30, 12
+	invalid := keyed("unsafe", key)
+	invalid.HasTokenCount, invalid.InvalidTokenCount = true, true
 	for name, c := range map[string]struct {
 		request     *serving.Request
 		reply       reply
@@ -83,9 +83,9 @@
 		drawn, back float64
 	}{
 		"key known":        {keyed("unsafe", key), reply{status: 200}, 100, "", "w1", 7, 0},
-		"size counts":      {sized, reply{status: 200}, 100, "", "w1", 42, 0},
-		"size unreadable":  {unreadable, reply{status: 200}, 100, verdict.ReasonInvalid, "", 0, 0},
-		"never ran":        {keyed("unsafe", key), reply{status: 503, notRun: true}, 100, verdict.ReasonBackend, "w1", 7, 7},
+		"size counts":      {counted, reply{status: 200}, 100, "", "w1", 42, 0},
+		"size unreadable":  {invalid, reply{status: 200}, 100, verdict.ReasonInvalid, "", 0, 0},
+		"never ran":        {keyed("unsafe", key), reply{status: 503, notExecuted: true}, 100, verdict.ReasonBackend, "w1", 7, 7},
 		"over the limit":   {keyed("unsafe", key), reply{status: 200}, 6, verdict.ReasonOverLimit, "", 0, 0},
 		"another key":      {keyed("unsafe", other), reply{status: 200}, 100, verdict.ReasonUnauthorized, "", 0, 0},
 		"no key":           {keyed("unsafe", serving.Credential{}), reply{status: 200}, 100, verdict.ReasonUnauthorized, "", 0, 0},
@@ -108,7 +108,7 @@
 		}
 		for _, a := range f.servers.attempts {
 			if a.Workspace != c.workspace || !a.KeysRequired {
-				t.Errorf("%s: sent as %q, guarded %v; want %q", name, a.Workspace, a.KeysRequired, c.workspace)
+				t.Errorf("%s: sent as %q, keys required %v; want %q", name, a.Workspace, a.KeysRequired, c.workspace)
 			}
 			if c.workspace != "" && a.Urgency != 3 {
 				t.Errorf("%s: sent with urgency %d and not its workspace's", name, a.Urgency)
--- a/command/forward/change_test.go
+++ b/command/forward/change_test.go
@@ -28,7 +28,7 @@
 			"all gone":        {Version: 2},
 			"another service": {Version: 2, Routes: []serving.Route{{Name: route, Host: "h", Prefix: "/" + route + "/", Targets: []serving.Target{{Service: "none", Weight: 1}}}}},
 		} {
-			f := newFixture(t, reply{notRun: true, status: http.StatusServiceUnavailable}, reply{status: http.StatusOK, body: "whole"})
+			f := newFixture(t, reply{notExecuted: true, status: http.StatusServiceUnavailable}, reply{status: http.StatusOK, body: "whole"})
 			config.Index()
 			f.forwarder.sender = changingServers{f.servers, func() { f.dir.ApplyConfig(config) }}
 			w, failure := f.serve(route, "", 0)
--- a/command/forward/draw_test.go
+++ b/command/forward/draw_test.go
@@ -11,7 +11,7 @@
 // answer is withheld until it is known whether another send is possible. A send that cannot be
 // drawn is not made.
 func TestResendDrawnOnce(t *testing.T) {
-	ok, failed, refused := reply{status: 200, body: "done"}, reply{status: 500, body: "no"}, reply{status: 503, notRun: true}
+	ok, failed, refused := reply{status: 200, body: "done"}, reply{status: 500, body: "no"}, reply{status: 503, notExecuted: true}
 	tests := map[string]struct {
 		replies    []reply
 		sends      int
--- a/command/forward/forward_test.go
+++ b/command/forward/forward_test.go
@@ -22,16 +22,16 @@
 
 // reply is what a fake server does with one attempt.
 type reply struct {
-	failure *verdict.Failure
-	status  int
-	notRun  bool
-	misdir  bool
-	events  bool
-	body    string
+	failure     *verdict.Failure
+	status      int
+	notExecuted bool
+	misdir      bool
+	events      bool
+	body        string
 	// broken makes reading the body fail at its end.
 	broken bool
-	// rests is set if the server sets a Retry-After.
-	rests bool
+	// hasRetryAfter is set if the server sets a Retry-After.
+	hasRetryAfter bool
 }
 
 // fakeServers answers attempts in the order of replies and records the attempts.
@@ -55,7 +55,7 @@
 	}
 	return &serving.Response{
 		Status: r.status, Header: http.Header{"X-Server": {a.Server.ID}}, Body: io.NopCloser(body),
-		NotExecuted: r.notRun, Misdirected: r.misdir, Events: r.events, HasRetryAfter: r.rests,
+		NotExecuted: r.notExecuted, Misdirected: r.misdir, Events: r.events, HasRetryAfter: r.hasRetryAfter,
 	}, nil
 }
 
@@ -164,15 +164,15 @@
 		"answered":                         {"unsafe", []reply{ok}, 1, 200, 0},
 		"non-idempotent, answer lost":      {"unsafe", []reply{{failure: mayHaveRun}, ok}, 1, 0, verdict.MayHaveRun},
 		"non-idempotent, not sent":         {"unsafe", []reply{{failure: notSent}, ok}, 2, 200, 0},
-		"non-idempotent, server's own 503": {"unsafe", []reply{{status: 503, notRun: true}, ok}, 2, 200, 0},
+		"non-idempotent, server's own 503": {"unsafe", []reply{{status: 503, notExecuted: true}, ok}, 2, 200, 0},
 		"non-idempotent, failed":           {"unsafe", []reply{{status: 500, body: "no"}, ok}, 1, 500, 0},
 		"non-idempotent, answer cut":       {"unsafe", []reply{{status: 200, body: "do", broken: true}, ok}, 1, 0, verdict.MayHaveRun},
 		"idempotent, answer lost":          {"safe", []reply{{failure: mayHaveRun}, ok}, 2, 200, 0},
 		"idempotent, answer cut":           {"safe", []reply{{status: 200, body: "do", broken: true}, ok}, 2, 200, 0},
 		"idempotent, failed":               {"safe", []reply{{status: 500, body: "no"}, ok}, 2, 200, 0},
 		"idempotent, attempts used up":     {"safe", []reply{{failure: mayHaveRun}, {failure: mayHaveRun}, ok}, 2, 0, verdict.MayHaveRun},
-		"refused after it may have run":    {"safe", []reply{{failure: mayHaveRun}, {status: 503, notRun: true}, {status: 503, notRun: true}}, 3, 0, verdict.MayHaveRun},
-		"all refuse":                       {"unsafe", []reply{{status: 503, notRun: true}}, 3, 0, verdict.NotRun},
+		"refused after it may have run":    {"safe", []reply{{failure: mayHaveRun}, {status: 503, notExecuted: true}, {status: 503, notExecuted: true}}, 3, 0, verdict.MayHaveRun},
+		"all refuse":                       {"unsafe", []reply{{status: 503, notExecuted: true}}, 3, 0, verdict.NotRun},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -330,7 +330,7 @@
 // TestMissingUnitIsReported: the next request for a place names the engine that did not have the
 // unit.
 func TestMissingUnitIsReported(t *testing.T) {
-	f := newFixture(t, reply{status: 421, notRun: true, misdir: true}, reply{status: 421, notRun: true, misdir: true}, reply{status: 200, events: true, body: threeEvents})
+	f := newFixture(t, reply{status: 421, notExecuted: true, misdir: true}, reply{status: 421, notExecuted: true, misdir: true}, reply{status: 200, events: true, body: threeEvents})
 	f.placer.place = Place{Engine: "e1"}
 	if _, failure := f.serve("stream", "warm", 0); failure != nil {
 		t.Fatal(failure)
@@ -361,7 +361,7 @@
 // TestBudgetSpent: a request that has not run is not sent again if the budget of repeated sends is
 // exhausted, and the client is informed that it has not run.
 func TestBudgetSpent(t *testing.T) {
-	f := newFixture(t, reply{status: 503, notRun: true}, reply{status: 200, body: "done"})
+	f := newFixture(t, reply{status: 503, notExecuted: true}, reply{status: 200, body: "done"})
 	f.forwarder.budget.SetParams(BudgetParams{Window: time.Minute}, time.Now())
 	_, failure := f.serve("safe", "", 0)
 	if failure == nil || failure.Verdict != verdict.NotRun || failure.RetryAfter == 0 || len(f.servers.attempts) != 1 {
--- a/command/forward/guard_test.go
+++ b/command/forward/guard_test.go
@@ -173,7 +173,7 @@
 		"no answer":          {reply{failure: mayHaveRun}, 1},
 		"refused connection": {reply{failure: notSent}, 0},
 		"stream breaks off":  {reply{status: 200, events: true, body: "id: 1\ndata: x\n\n", broken: true}, 1},
-		"not run":            {reply{status: 503, notRun: true}, 0},
+		"not run":            {reply{status: 503, notExecuted: true}, 0},
 		"error":              {reply{status: 500}, 0},
 	}
 	for name, test := range tests {
@@ -254,7 +254,7 @@
 		inconclusiveEnds int
 	}{
 		"refused connection": {reply{failure: notSent}, 0},
-		"not run":            {reply{status: 503, notRun: true}, 0},
+		"not run":            {reply{status: 503, notExecuted: true}, 0},
 		"no answer":          {reply{failure: mayHaveRun}, 1},
 		"broken off":         {reply{status: 200, events: true, body: "id: 1\n", broken: true}, 1},
 	}
--- a/command/forward/serverlimiter_test.go
+++ b/command/forward/serverlimiter_test.go
@@ -17,10 +17,10 @@
 
 // fakeServerLimiter returns preset limits of servers.
 type fakeServerLimiter struct {
-	// rests is until when each server must not be sent anything, and limits how many sends each one
+	// retryAfterUntil is until when each server must not be sent anything, and limits how many sends each one
 	// still accepts.
-	rests  map[string]time.Time
-	limits map[string]int
+	retryAfterUntil map[string]time.Time
+	limits          map[string]int
 	// after is when to ask again, and spare the number of requests for permission that could also
 	// be sent elsewhere.
 	after                  time.Duration
@@ -29,7 +29,9 @@
 	onAdmit func(s serving.Server)
 }
 
-func (l *fakeServerLimiter) RetryAfterUntil(s serving.Server) time.Time { return l.rests[s.ID] }
+func (l *fakeServerLimiter) RetryAfterUntil(s serving.Server) time.Time {
+	return l.retryAfterUntil[s.ID]
+}
 
 func (l *fakeServerLimiter) Limited(s serving.Server) (bool, time.Time) {
 	_, limited := l.limits[s.ID]
@@ -85,7 +87,7 @@
 			f := newFixture(t, reply{status: 200, body: threeEvents, events: service.model != ""})
 			f.placer.err = ErrNoRoom
 			until := clock.Now().Add(3 * time.Second)
-			f.limiter.rests = map[string]time.Time{"s1": until, "s2": until.Add(time.Second), "s3": until, "e1": until, "e2": until}
+			f.limiter.retryAfterUntil = map[string]time.Time{"s1": until, "s2": until.Add(time.Second), "s3": until, "e1": until, "e2": until}
 			start := time.Now()
 			_, failure := f.serve(service.route, service.model, 0)
 			if failure == nil || failure.Reason != verdict.ReasonHeldBack || failure.Verdict != verdict.NotRun || time.Since(start) > 0 {
@@ -126,8 +128,8 @@
 // TestRetryAfterDuringRequest: a server that has rejected a request is not sent it again while all
 // others have set a Retry-After; the request is refused after one send.
 func TestRetryAfterDuringRequest(t *testing.T) {
-	f := newFixture(t, reply{status: 503, notRun: true}, reply{status: 200, body: "done"})
-	f.limiter.rests = map[string]time.Time{"s2": clock.Now().Add(time.Minute), "s3": clock.Now().Add(time.Minute)}
+	f := newFixture(t, reply{status: 503, notExecuted: true}, reply{status: 200, body: "done"})
+	f.limiter.retryAfterUntil = map[string]time.Time{"s2": clock.Now().Add(time.Minute), "s3": clock.Now().Add(time.Minute)}
 	_, failure := f.serve("unsafe", "", 0)
 	if failure == nil || failure.Verdict != verdict.NotRun || len(f.servers.attempts) != 1 {
 		t.Errorf("%v, %d sends, want one and a refusal", failure, len(f.servers.attempts))
@@ -139,12 +141,12 @@
 // do not fail.
 func TestRetryAfterNotCountedAsFailure(t *testing.T) {
 	f := newFixture(t, reply{status: 200, body: "done"})
-	f.limiter.rests = map[string]time.Time{"s2": clock.Now().Add(time.Minute), "s3": clock.Now().Add(time.Minute)}
-	f.servers.replies = []reply{{status: 503, notRun: true, rests: true}}
+	f.limiter.retryAfterUntil = map[string]time.Time{"s2": clock.Now().Add(time.Minute), "s3": clock.Now().Add(time.Minute)}
+	f.servers.replies = []reply{{status: 503, notExecuted: true, hasRetryAfter: true}}
 	for range 10 {
 		f.serve("unsafe", "", 0)
 	}
-	f.limiter.rests = nil
+	f.limiter.retryAfterUntil = nil
 	f.servers.attempts, f.servers.replies = nil, []reply{{status: 200, body: "done"}}
 	sends := map[string]int{}
 	for range 90 {
--- a/command/forward/transaction.go
+++ b/command/forward/transaction.go
@@ -249,7 +249,7 @@
 	defer resp.Body.Close()
 	if resp.NotExecuted {
 		outcome = rejectionOutcome(resp)
-		return false, t.handleNotRun(server, resp, &outcome)
+		return false, t.handleNotExecuted(server, resp, &outcome)
 	}
 	t.sends++
 	t.runs++
@@ -303,8 +303,8 @@
 	return balance.Failed
 }
 
-// handleNotRun handles an answer that states that the server has not run the request.
-func (t *transaction) handleNotRun(server serving.Server, resp *serving.Response, outcome *balance.Outcome) *verdict.Failure {
+// handleNotExecuted handles an answer that states that the server has not run the request.
+func (t *transaction) handleNotExecuted(server serving.Server, resp *serving.Response, outcome *balance.Outcome) *verdict.Failure {
 	t.sends++
 	t.excluded[server.ID] = true
 	// From an engine, such an answer means that it lacks the unit. A plain server is not the one
