--- a/command/backpressure/simulation_test.go
+++ b/command/backpressure/simulation_test.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// TestTurnsAreSpread: requests without an alternative server are told to ask again one after the other.
-// At their turns they are granted what is available, before requests that arrive later.
+// TestTurnsAreSpread: requests without an alternative server are given turns to ask again, one after
+// the other. At their turns they are granted what is available, before requests that arrive later.
 func TestTurnsAreSpread(t *testing.T) {
 	l := quota.NewLender(QuotaParams(), true, nil, epoch)
 	now := epoch
--- a/command/forward/serverlimiter_test.go
+++ b/command/forward/serverlimiter_test.go
@@ -17,8 +17,8 @@
 
 // fakeServerLimiter returns preset limits of servers.
 type fakeServerLimiter struct {
-	// retryAfterUntil is until when each server must not be sent anything, and limits how many sends each one
-	// still accepts.
+	// retryAfterUntil is until when each server must not be sent anything, and limits how many
+	// sends each one still accepts.
 	retryAfterUntil map[string]time.Time
 	limits          map[string]int
 	// after is when to ask again, and spare the number of requests for permission that could also
--- a/command/holder/peers.go
+++ b/command/holder/peers.go
@@ -32,7 +32,7 @@
 }
 
 // count returns the number of instances in a failure domain. It returns 0 until all of them can have reported;
-// otherwise the first one to report after a take-over would be told that it is the only one.
+// otherwise the first one to report after a take-over would be informed that it is the only one.
 func (p *peers) count(domain string, now time.Time) int {
 	if now.Sub(p.firstReport) < reportLifetime {
 		return 0
--- a/command/holder/peers_test.go
+++ b/command/holder/peers_test.go
@@ -8,9 +8,9 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// TestPeersAfterTakeOver: a new holder has received few reports. The first instance to report was told that it was
-// the only one, and used the whole budget of repeated sends that six instances share. In the log of a run the counts
-// were 1 to 5 at that time.
+// TestPeersAfterTakeOver: a new holder has received few reports. The first instance to report was informed that it
+// was the only one, and used the whole budget of repeated sends that six instances share. In the log of a run the
+// counts were 1 to 5 at that time.
 func TestPeersAfterTakeOver(t *testing.T) {
 	p := newInstanceReports().peers
 	now := time.Unix(1000, 0)
--- a/command/quota/turns.go
+++ b/command/quota/turns.go
@@ -12,7 +12,7 @@
 	// request is granted only from the upper half of the capacity; the lower half is kept for requests
 	// without an alternative.
 	Spare bool
-	// Waited is set if the request was told when to ask again, and now does so.
+	// Waited is set if the request was given a time at which to ask again, and now does so.
 	Waited bool
 }
 
@@ -49,7 +49,7 @@
 	return Answer{Known: true, After: max(after+time.Millisecond, minTurnDelay)} // rounded up to the next millisecond
 }
 
-// minTurnDelay is the shortest time after which a request is told to ask again.
+// minTurnDelay is the shortest delay before a request is to ask again.
 const minTurnDelay = 20 * time.Millisecond
 
 // reserveTurn assigns the next turn.
--- a/entry/clientconn.go
+++ b/entry/clientconn.go
@@ -54,7 +54,7 @@
 	phase      phase
 	phaseStart time.Time
 	// idleLimit is the larger of two limits: the one in force when the last request was read, which
-	// the client has been told, and the one in force when the connection became idle.
+	// was announced to the client, and the one in force when the connection became idle.
 	idleLimit time.Duration
 	// answered: a request has been answered on the connection.
 	answered bool
--- a/entry/serverlimiter.go
+++ b/entry/serverlimiter.go
@@ -193,8 +193,8 @@
 	// noShareRetry is when a request asks again if no holder lends and this instance has no part of
 	// the server's limit.
 	noShareRetry = 500 * time.Millisecond
-	// heldBackReportTime is how long the holder is told that a server is at its limit after a request
-	// was refused that could use no other server.
+	// heldBackReportTime is how long reports to the holder list a server as at its limit after a
+	// request was refused that could use no other server.
 	heldBackReportTime = 500 * time.Millisecond
 )
 
