--- a/command/forward/access.go
+++ b/command/forward/access.go
@@ -54,12 +54,12 @@
 
 // withWorkspacePriority returns the route with the priority of the workspace, if that has one.
 func withWorkspacePriority(route *serving.Route, w *serving.Workspace) *serving.Route {
-	if !w.Ranked || w.Priority == route.Priority {
+	if !w.HasPriority || w.Priority == route.Priority {
 		return route
 	}
-	ranked := *route
-	ranked.Priority = w.Priority
-	return &ranked
+	prioritized := *route
+	prioritized.Priority = w.Priority
+	return &prioritized
 }
 
 // recordRejection logs and counts a request that may not run.
