--- a/cmd/martendev/entries.go
+++ b/cmd/martendev/entries.go
@@ -100,7 +100,7 @@
 		}
 	}
 	return standin.Config{
-		Version: 1, Plain: []string{"notices"}, Engines: "engines", Models: c.models(), MemoryMB: serverMemoryMB, AdapterSlots: serverAdapterSlots,
+		Version: 1, PlainServices: []string{"notices"}, EngineService: "engines", Models: c.models(), MemoryMB: serverMemoryMB, AdapterSlots: serverAdapterSlots,
 		RemoteLoad: 6 * loadTime, LoadsPerSecond: 3,
 		Workspaces: []standin.Workspace{
 			{Name: "gallery", Keys: []string{galleryKey}, Rate: 5000, Burst: 5000}, {Name: "archive", Keys: []string{"archive-key"}},
--- a/cmd/martendev/roles.go
+++ b/cmd/martendev/roles.go
@@ -103,7 +103,7 @@
 func (c *serverCommand) Execute([]string) error {
 	p := standin.ServerParams{
 		ID: c.ID, Service: c.Service, FailureDomain: c.Domain, Announced: c.Announced, Models: map[string]standin.ServerModel{},
-		MemoryMB: serverMemoryMB, AdapterSlots: serverAdapterSlots, Loaded: c.Loaded, Work: c.Work, EventPause: c.Work, Poison: c.Poison,
+		MemoryMB: serverMemoryMB, AdapterSlots: serverAdapterSlots, Loaded: c.Loaded, Work: c.Work, EventPause: c.Work, PoisonPrefix: c.Poison,
 	}
 	for _, name := range c.Models {
 		p.Models[name] = standin.ServerModel{MemoryMB: serverModelMB, AdapterMB: 1, Load: c.Load}
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -151,7 +151,7 @@
 // uses.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", net.JoinHostPort(standin.OwnIP(), "0"))
+	l, err := net.Listen("tcp", net.JoinHostPort(standin.UniqueLoopbackIP(), "0"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entry/crash_fixture_test.go
+++ b/entry/crash_fixture_test.go
@@ -90,7 +90,7 @@
 
 // engine runs an engine that is back at its address after it has ended.
 func (f *crashFleet) engine(ctx context.Context, i int) {
-	address := net.JoinHostPort(standin.OwnIP(), "0")
+	address := net.JoinHostPort(standin.UniqueLoopbackIP(), "0")
 	for start := 0; ctx.Err() == nil; start++ {
 		id := fmt.Sprintf("c%d-%d", i, start)
 		if f.engines.sameID {
@@ -98,7 +98,7 @@
 		}
 		s, err := standin.NewServerAt(address, standin.ServerParams{
 			ID: id, Service: "llm", FailureDomain: "a", EventPause: f.engines.eventPause, Models: testModels, MemoryMB: testMemoryMB,
-			AdapterSlots: testAdapterSlots, Loaded: []string{"m1"}, Poison: poison, Unsealed: f.engines.unsealed, EndsAfter: f.engines.endsAfter,
+			AdapterSlots: testAdapterSlots, Loaded: []string{"m1"}, PoisonPrefix: poison, OmitSeal: f.engines.unsealed, CrashDelay: f.engines.endsAfter,
 		})
 		if err != nil {
 			f.t.Errorf("engine: %v", err)
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -133,7 +133,7 @@
 	f.t.Helper()
 	f.version++
 	c := standin.Config{
-		Version: f.version, Plain: []string{"plain"}, Engines: "llm", Models: testModels, MemoryMB: testMemoryMB, AdapterSlots: testAdapterSlots,
+		Version: f.version, PlainServices: []string{"plain"}, EngineService: "llm", Models: testModels, MemoryMB: testMemoryMB, AdapterSlots: testAdapterSlots,
 		RemoteLoad: 500 * time.Millisecond, LoadsPerSecond: 3, Workspaces: f.workspaces,
 	}
 	kinds := map[string]standin.RouteKind{"stream": standin.StreamRoute, "safe": standin.SafeRoute}
@@ -162,7 +162,7 @@
 // addInstance starts the instance of a machine, each at an address of its own.
 func (f *fleet) addInstance(machine int) *running {
 	f.t.Helper()
-	ip := standin.OwnIP()
+	ip := standin.UniqueLoopbackIP()
 	s := platform.Settings{NodeName: "node-" + strconv.Itoa(machine), IP: ip, Zone: "a", InternalPorts: []int{7380, 7390}}
 	s.Listen.Frontend, s.Listen.Ready = net.JoinHostPort(ip, testClientsPort), net.JoinHostPort(ip, testReadyPort)
 	s.Platform.Address = f.storeURL
--- a/entry/leaving_late_test.go
+++ b/entry/leaving_late_test.go
@@ -46,8 +46,8 @@
 // TestLeavingHeardLateBySilentWatch: watches hear nothing for a second, and are never answered.
 func TestLeavingHeardLateBySilentWatch(t *testing.T) {
 	atPhases(t, func(_ *testing.T, s *simulation) {
-		s.store.DeafenWatches(true)
-		time.AfterFunc(time.Second, func() { s.store.DeafenWatches(false) })
+		s.store.BlockWatches(true)
+		time.AfterFunc(time.Second, func() { s.store.BlockWatches(false) })
 		s.checkHeardInTime(nil)
 	})
 }
@@ -55,8 +55,8 @@
 // TestLeavingUnheardWhileWatchesAreSilent: no watch is answered any more, all other calls are.
 func TestLeavingUnheardWhileWatchesAreSilent(t *testing.T) {
 	atPhases(t, func(_ *testing.T, s *simulation) {
-		s.store.DeafenWatches(true)
-		time.AfterFunc(20*time.Second, func() { s.store.DeafenWatches(false) })
+		s.store.BlockWatches(true)
+		time.AfterFunc(20*time.Second, func() { s.store.BlockWatches(false) })
 		s.checkHeardInTime(nil)
 	})
 }
@@ -80,8 +80,8 @@
 // TestLeavingHeardLateBySilentConnections: watches and all open connections to the store fall silent; new ones work.
 func TestLeavingHeardLateBySilentConnections(t *testing.T) {
 	atPhases(t, func(_ *testing.T, s *simulation) {
-		s.store.DeafenWatches(true)
-		time.AfterFunc(time.Second, func() { s.store.DeafenWatches(false) })
+		s.store.BlockWatches(true)
+		time.AfterFunc(time.Second, func() { s.store.BlockWatches(false) })
 		for _, i := range s.all() {
 			i.way.silence()
 		}
@@ -92,8 +92,8 @@
 // TestConfigurationLateBySilentWatch: a watch that is never answered keeps no instance from a new configuration.
 func TestConfigurationLateBySilentWatch(t *testing.T) {
 	atPhases(t, func(t *testing.T, s *simulation) {
-		s.store.DeafenWatches(true)
-		time.AfterFunc(20*time.Second, func() { s.store.DeafenWatches(false) })
+		s.store.BlockWatches(true)
+		time.AfterFunc(20*time.Second, func() { s.store.BlockWatches(false) })
 		written := time.Now()
 		s.configure(2)
 		s.await("the configuration in force", time.Minute, func() bool {
@@ -108,10 +108,10 @@
 // TestServersLostInShortOutage: entries that lapse while watches alone notice that the store is away are waited for.
 func TestServersLostInShortOutage(t *testing.T) {
 	atPhases(t, func(t *testing.T, s *simulation) {
-		s.store.DeafenWatches(true)
+		s.store.BlockWatches(true)
 		s.remove("p1")
 		s.remove("p2")
-		time.AfterFunc(500*time.Millisecond, func() { s.store.DeafenWatches(false) })
+		time.AfterFunc(500*time.Millisecond, func() { s.store.BlockWatches(false) })
 		time.AfterFunc(2*time.Second, func() {
 			s.announce("p1", "ready")
 			s.announce("p2", "ready")
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -76,7 +76,7 @@
 	said := time.Now()
 	defer func() { f.logArrivals(said, time.Now()) }()
 	leaving := f.engines[0]
-	leaving.Say(standin.Words{Leaving: true})
+	leaving.SetBackpressure(standin.Backpressure{Leaving: true})
 	time.Sleep(3 * drainBound)
 	ended := time.Now()
 	f.endLoad()
--- a/entry/ratelimit_test.go
+++ b/entry/ratelimit_test.go
@@ -56,10 +56,10 @@
 	named := time.Now()
 	defer func() { f.logArrivals(named, time.Now()) }()
 	limited := f.engines[0]
-	limited.Say(standin.Words{Limit: "1.5"})
+	limited.SetBackpressure(standin.Backpressure{Limit: "1.5"})
 	time.Sleep(limitedFor)
 	ceased := time.Now()
-	limited.Say(standin.Words{})
+	limited.SetBackpressure(standin.Backpressure{})
 	const backWithin = 2 * time.Second
 	time.Sleep(backWithin + 2*time.Second)
 	ended := time.Now()
@@ -92,7 +92,7 @@
 	named := time.Now()
 	defer func() { f.logArrivals(named, time.Now()) }()
 	for _, s := range f.engines {
-		s.Say(standin.Words{Limit: "4"})
+		s.SetBackpressure(standin.Backpressure{Limit: "4"})
 	}
 	time.Sleep(limitedFor / 2)
 	f.replaceOne()
@@ -123,7 +123,7 @@
 	named := time.Now()
 	defer func() { f.logArrivals(named, time.Now()) }()
 	for _, s := range f.engines {
-		s.Say(standin.Words{Limit: "1.5"})
+		s.SetBackpressure(standin.Backpressure{Limit: "1.5"})
 	}
 	time.Sleep(limitSettled)
 	f.killHolder()
@@ -144,7 +144,7 @@
 	f.model, f.pause = "m2", time.Second
 	named := time.Now()
 	defer func() { f.logArrivals(named, time.Now()) }()
-	f.engines[0].Say(standin.Words{Limit: "0"})
+	f.engines[0].SetBackpressure(standin.Backpressure{Limit: "0"})
 	f.startLoad()
 	const loaded = 2 * time.Second
 	time.Sleep(loaded + 2*limitWindow)
--- a/entry/rest_test.go
+++ b/entry/rest_test.go
@@ -56,7 +56,7 @@
 	time.Sleep(time.Second)
 	asked := time.Now()
 	defer func() { f.logArrivals(asked, time.Now()) }()
-	f.engines[0].Say(standin.Words{Rest: "3"})
+	f.engines[0].SetBackpressure(standin.Backpressure{Rest: "3"})
 	time.Sleep(3 * restTime)
 	ended := time.Now()
 	f.endLoad()
@@ -81,12 +81,12 @@
 	asked := time.Now()
 	defer func() { f.logArrivals(asked, time.Now()) }()
 	for _, s := range f.engines {
-		s.Say(standin.Words{Rest: "3"})
+		s.SetBackpressure(standin.Backpressure{Rest: "3"})
 	}
 	time.Sleep(2 * restTime)
 	ceased := time.Now()
 	for _, s := range f.engines {
-		s.Say(standin.Words{})
+		s.SetBackpressure(standin.Backpressure{})
 	}
 	time.Sleep(2 * restTime)
 	ended := time.Now()
--- a/entry/simulation_test.go
+++ b/entry/simulation_test.go
@@ -202,7 +202,7 @@
 
 // configure writes a version of the configuration.
 func (s *simulation) configure(version int64) {
-	c := standin.Config{Version: version, Plain: []string{"plain"}, Engines: "llm"}
+	c := standin.Config{Version: version, PlainServices: []string{"plain"}, EngineService: "llm"}
 	if err := c.Write(context.Background(), s.store); err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/standin/address.go
+++ b/internal/standin/address.go
@@ -6,16 +6,16 @@
 	"sync/atomic"
 )
 
-// ownIPCount is the number of different addresses that OwnIP returns in a process.
-const ownIPCount = 254
+// uniqueIPCount is the number of different addresses that UniqueLoopbackIP returns in a process.
+const uniqueIPCount = 254
 
-var ownIPsIssued atomic.Int64
+var uniqueIPsIssued atomic.Int64
 
-// OwnIP returns a loopback address that is not used by the last 253 calls, by another process, or by the machine's
-// outgoing connections, which come from 127.0.0.1. Use it for a listener that reuses its port after a restart, or
-// listens on a port that was found to be free a moment ago: on 127.0.0.1 an outgoing connection may take the port
-// in between, which made a test with restarting servers fail.
-func OwnIP() string {
+// UniqueLoopbackIP returns a loopback address that is not used by the last 253 calls, by another process, or by the
+// machine's outgoing connections, which come from 127.0.0.1. Use it for a listener that reuses its port after a
+// restart, or listens on a port that was found to be free a moment ago: on 127.0.0.1 an outgoing connection may take
+// the port in between, which made a test with restarting servers fail.
+func UniqueLoopbackIP() string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>8&0x3f, pid&0xff, 1+(ownIPsIssued.Add(1)-1)%ownIPCount)
+	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>8&0x3f, pid&0xff, 1+(uniqueIPsIssued.Add(1)-1)%uniqueIPCount)
 }
--- a/internal/standin/arrivals.go
+++ b/internal/standin/arrivals.go
@@ -18,7 +18,7 @@
 	Workspace string
 	KeyTold   bool
 	// Said is what the server reported in the headers of its answer.
-	Said Words
+	Said Backpressure
 }
 
 // arrivalLog holds the latest attempts that reached a Server, and whether the server fails them.
--- a/internal/standin/backpressure.go
+++ b/internal/standin/backpressure.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Words is what a Server reports of itself in the headers of its answers.
-type Words struct {
+// Backpressure is the state that a Server reports in the headers of its answers.
+type Backpressure struct {
 	// Limit is the number of requests per second that it accepts, as written in the header; omitted if empty.
 	Limit string
 	// Leaving reports whether the server says that it is leaving.
@@ -18,27 +18,27 @@
 // backpressureState is what a Server reports now.
 type backpressureState struct {
 	mu      sync.Mutex
-	current Words // guarded by mu
+	current Backpressure // guarded by mu
 }
 
-// Say sets what the server reports in all answers from now on.
-func (s *Server) Say(w Words) {
+// SetBackpressure sets what the server reports in all answers from now on.
+func (s *Server) SetBackpressure(b Backpressure) {
 	s.backpressure.mu.Lock()
 	defer s.backpressure.mu.Unlock()
-	s.backpressure.current = w
+	s.backpressure.current = b
 }
 
-// PathBackpressure is the path that calls Say: POST with ?limit=, &rest= and &leaving=true or false.
+// PathBackpressure is the path that calls SetBackpressure: POST with ?limit=, &rest= and &leaving=true or false.
 const PathBackpressure = "/standin/say"
 
 func (s *Server) serveBackpressure(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	s.Say(Words{Limit: q.Get("limit"), Rest: q.Get("rest"), Leaving: q.Get("leaving") == "true"})
+	s.SetBackpressure(Backpressure{Limit: q.Get("limit"), Rest: q.Get("rest"), Leaving: q.Get("leaving") == "true"})
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // write sets the headers of an answer and returns what they report.
-func (b *backpressureState) write(h http.Header) (reported Words) {
+func (b *backpressureState) write(h http.Header) (reported Backpressure) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.current.Limit != "" {
@@ -51,9 +51,9 @@
 }
 
 // refuseRequest refuses a request with status 503 and Retry-After. The request is not run.
-func (w Words) refuseRequest(rw http.ResponseWriter, id string) {
-	rw.Header().Set("Martenport-Attempt-Id", id)
-	rw.Header().Set("Martenport-Not-Executed", "1")
-	rw.Header().Set("Retry-After", w.Rest)
-	rw.WriteHeader(http.StatusServiceUnavailable)
+func (b Backpressure) refuseRequest(w http.ResponseWriter, id string) {
+	w.Header().Set("Martenport-Attempt-Id", id)
+	w.Header().Set("Martenport-Not-Executed", "1")
+	w.Header().Set("Retry-After", b.Rest)
+	w.WriteHeader(http.StatusServiceUnavailable)
 }
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -50,9 +50,10 @@
 type Config struct {
 	Version int64
 	Routes  []Route
-	// Plain are the names of the plain services, and Engines is the name of the engines' service.
-	Plain   []string
-	Engines string
+	// PlainServices are the names of the plain services, and EngineService is the name of the engines'
+	// service.
+	PlainServices []string
+	EngineService string
 	// Models are the models that engines can load; MemoryMB and AdapterSlots are the capacity of an engine.
 	Models       map[string]ServerModel
 	MemoryMB     float64
@@ -87,7 +88,7 @@
 		})
 	}
 	services := []map[string]any{}
-	for _, name := range c.Plain {
+	for _, name := range c.PlainServices {
 		services = append(services, map[string]any{"name": name})
 	}
 	models := []map[string]any{}
@@ -97,7 +98,7 @@
 			"adapters": adaptersPerModel, "adapterSizeMb": m.AdapterMB,
 		})
 	}
-	services = append(services, map[string]any{"name": c.Engines, "engine": map[string]any{
+	services = append(services, map[string]any{"name": c.EngineService, "engine": map[string]any{
 		"slots": serverSlots, "weightsMb": c.MemoryMB, "adapterSlots": c.AdapterSlots, "loadsPerS": c.LoadsPerSecond, "models": models,
 	}})
 	idle := c.IdleTimeout
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -64,9 +64,9 @@
 	p.answersToLose = n
 }
 
-// DeafenWatches sets whether pending and new watches get no answer. A watch without an answer stays pending when
+// BlockWatches sets whether pending and new watches get no answer. A watch without an answer stays pending when
 // this ends. Other calls are not affected.
-func (p *Platform) DeafenWatches(blocked bool) {
+func (p *Platform) BlockWatches(blocked bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.watchesBlocked = blocked
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -35,15 +35,15 @@
 	Loaded []string
 	// Announced is the address in its store entry, if it is not its own.
 	Announced string
-	// Poison is the prefix of the bodies of requests that crash the server when it begins to run them; none if
+	// PoisonPrefix is the prefix of the bodies of requests that crash the server when it begins to run them; none if
 	// empty.
-	Poison string
-	// EndsAfter is the time between the cut-off of the answer to such a request and the end of the server. Until
+	PoisonPrefix string
+	// CrashDelay is the time between the cut-off of the answer to such a request and the end of the server. Until
 	// then the server still listens and serves its other requests.
-	EndsAfter time.Duration
-	// Unsealed makes the server send the headers of the answer to such a request without its seal, so that nothing
+	CrashDelay time.Duration
+	// OmitSeal makes the server send the headers of the answer to such a request without its seal, so that nothing
 	// proves that the server made the answer.
-	Unsealed bool
+	OmitSeal bool
 	// EventPause is the pause between events of a stream, Work the duration of a plain request.
 	EventPause, Work time.Duration
 }
--- a/internal/standin/server_requests.go
+++ b/internal/standin/server_requests.go
@@ -37,7 +37,7 @@
 		return
 	}
 	w.Header().Set("Martenport-Server-Seal", "seal-"+s.params.ID)
-	if s.params.Poison != "" && strings.HasPrefix(string(body), s.params.Poison) {
+	if s.params.PoisonPrefix != "" && strings.HasPrefix(string(body), s.params.PoisonPrefix) {
 		s.crash(w, string(body))
 	}
 	if s.arrivals.isFailing() {
@@ -55,7 +55,7 @@
 
 // crash ends the server because of a request with the given body.
 func (s *Server) crash(w http.ResponseWriter, body string) {
-	if s.params.Unsealed {
+	if s.params.OmitSeal {
 		w.Header().Del("Martenport-Server-Seal")
 		_ = http.NewResponseController(w).Flush()
 	}
@@ -65,7 +65,7 @@
 		s.endedBy = body
 	}
 	s.mu.Unlock()
-	time.AfterFunc(s.params.EndsAfter, s.Stop)
+	time.AfterFunc(s.params.CrashDelay, s.Stop)
 	panic(http.ErrAbortHandler)
 }
 
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -40,13 +40,13 @@
 // backpressureFault makes a server report a limit, a rest or that it leaves for a while. A server that leaves is
 // restarted at the end.
 func (r *run) backpressureFault(ctx context.Context, server int) fault {
-	signals := []standin.Words{{Limit: strconv.FormatFloat(advertisedLimit, 'g', -1, 64)}, {Rest: strconv.FormatFloat(advertisedRest.Seconds(), 'g', -1, 64)}, {Leaving: true}}[r.random.IntN(3)]
+	signals := []standin.Backpressure{{Limit: strconv.FormatFloat(advertisedLimit, 'g', -1, 64)}, {Rest: strconv.FormatFloat(advertisedRest.Seconds(), 'g', -1, 64)}, {Leaving: true}}[r.random.IntN(3)]
 	p := r.servers[server]
 	extra := time.Duration(r.random.IntN(4)) * time.Second
 	return fault{fmt.Sprintf("%s says %+v", p.name, signals), func() { r.setBackpressure(server, signals) }, func() {
 		pause.For(ctx, extra)
 		if !signals.Leaving {
-			r.setBackpressure(server, standin.Words{})
+			r.setBackpressure(server, standin.Backpressure{})
 			return
 		}
 		r.disturbances.begin(r.serverService(server))
@@ -58,8 +58,8 @@
 }
 
 // setBackpressure sets what a server reports in its answers. It does nothing if the server does not answer.
-func (r *run) setBackpressure(server int, w standin.Words) {
-	query := url.Values{"limit": {w.Limit}, "rest": {w.Rest}, "leaving": {strconv.FormatBool(w.Leaving)}}
+func (r *run) setBackpressure(server int, b standin.Backpressure) {
+	query := url.Values{"limit": {b.Limit}, "rest": {b.Rest}, "leaving": {strconv.FormatBool(b.Leaving)}}
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Post("http://"+r.serverAddresses[server]+standin.PathBackpressure+"?"+query.Encode(), "", nil)
 	if err == nil {
--- a/soak/backpressure_test.go
+++ b/soak/backpressure_test.go
@@ -11,9 +11,9 @@
 // TestBackpressureChecksFindBreaches: the checks must find requests beyond a reported limit, rest or leaving
 // server, and must ignore requests of instances that are not stable, which may not know the report.
 func TestBackpressureChecksFindBreaches(t *testing.T) {
-	limit, rest, leaving := standin.Words{Limit: "2"}, standin.Words{Rest: "2"}, standin.Words{Leaving: true}
+	limit, rest, leaving := standin.Backpressure{Limit: "2"}, standin.Backpressure{Rest: "2"}, standin.Backpressure{Leaving: true}
 	for name, c := range map[string]struct {
-		signals  standin.Words
+		signals  standin.Backpressure
 		n        int
 		gap      time.Duration
 		unstable bool // the instance is not stable
--- a/soak/clients.go
+++ b/soak/clients.go
@@ -93,7 +93,7 @@
 func (r *Result) count(req clientRequest) {
 	r.Requests++
 	if req.reusedConn && req.undisturbed && !req.sentAt.IsZero() {
-		r.KeptClear++
+		r.UndisturbedReused++
 	}
 	switch {
 	case req.status == http.StatusOK && req.complete:
--- a/soak/config.go
+++ b/soak/config.go
@@ -68,7 +68,7 @@
 	defer r.config.mu.Unlock()
 	r.config.version++
 	c := standin.Config{
-		Version: r.config.version, Plain: []string{plainService, sideService}, Engines: engineService, Models: map[string]standin.ServerModel{}, MemoryMB: 210, AdapterSlots: 2,
+		Version: r.config.version, PlainServices: []string{plainService, sideService}, EngineService: engineService, Models: map[string]standin.ServerModel{}, MemoryMB: 210, AdapterSlots: 2,
 		RemoteLoad: 500 * time.Millisecond, LoadsPerSecond: 3, IdleTimeout: idle,
 		Workspaces: workspaces(r.config.version),
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -30,7 +30,7 @@
 	var pending sync.WaitGroup
 	began := time.Now()
 	scheduled, storeFaultsFrom := r.scheduledFaults(ctx), r.storeFaultsFrom()
-	for time.Since(began) < r.params.For {
+	for time.Since(began) < r.params.FaultDuration {
 		var f fault
 		if len(scheduled) > 0 && time.Since(began) >= scheduled[0].at {
 			f, scheduled = scheduled[0].fault, scheduled[1:]
@@ -64,7 +64,7 @@
 // request, a server that sends backpressure or says that it leaves, a failing service while all instances are
 // killed repeatedly, and a restore of the store from a backup.
 func (r *run) scheduledFaults(ctx context.Context) []scheduledFault {
-	return []scheduledFault{{0, r.varyIdleTimeout(ctx)}, {r.params.For / 10, r.poisonFault(ctx)}, {r.params.For / 5, r.backpressureFault(ctx, r.random.IntN(len(r.servers)))}, {r.params.For * 2 / 5, r.killAll(ctx, plainService)}, {r.params.For * 4 / 5, r.restoreFault(ctx)}}
+	return []scheduledFault{{0, r.varyIdleTimeout(ctx)}, {r.params.FaultDuration / 10, r.poisonFault(ctx)}, {r.params.FaultDuration / 5, r.backpressureFault(ctx, r.random.IntN(len(r.servers)))}, {r.params.FaultDuration * 2 / 5, r.killAll(ctx, plainService)}, {r.params.FaultDuration * 4 / 5, r.restoreFault(ctx)}}
 }
 
 // proxyModes are the modes that faults draw from. blockFromTarget is listed twice, since lost answers break most
@@ -78,7 +78,7 @@
 	if r.random.IntN(2) == 0 {
 		return 0
 	}
-	return r.params.For * 4 / 5
+	return r.params.FaultDuration * 4 / 5
 }
 
 // drawFault draws a fault. Faults of the store are only returned if storeAllowed is true.
@@ -165,7 +165,7 @@
 		r.setFailing(service, false)
 	}
 	for i := range r.servers {
-		r.setBackpressure(i, standin.Words{})
+		r.setBackpressure(i, standin.Backpressure{})
 	}
 	for _, p := range append(append([]*proxy{}, r.storeProxies...), r.serverProxies...) {
 		p.setMode(passAll)
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -47,7 +47,7 @@
 }
 
 func newProxy(target string) (*proxy, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(standin.OwnIP(), "0"))
+	l, err := net.Listen("tcp", net.JoinHostPort(standin.UniqueLoopbackIP(), "0"))
 	if err != nil {
 		return nil, err
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -27,8 +27,8 @@
 // Params are the parameters of a run.
 type Params struct {
 	Seed uint64
-	// For is how long faults are injected.
-	For time.Duration
+	// FaultDuration is how long faults are injected.
+	FaultDuration time.Duration
 	// Entries, Engines and Plain are the numbers of entry instances, of engines, and of servers of the two plain
 	// services together.
 	Entries, Engines, Plain int
@@ -43,11 +43,11 @@
 type Result struct {
 	Requests, Answered, Refused, Failed int
 	Faults                              []string
-	// KeptClear counts the requests sent on reused connections while nothing on their path was disturbed. Repeats
-	// counts the arrivals at servers beyond the first of each request.
-	KeptClear, Repeats int
-	// Ended counts the engines that crashed under a poison request.
-	Ended int
+	// UndisturbedReused counts the requests sent on reused connections while nothing on their path was disturbed.
+	// Repeats counts the arrivals at servers beyond the first of each request.
+	UndisturbedReused, Repeats int
+	// EnginesCrashed counts the engines that crashed under a poison request.
+	EnginesCrashed int
 	// Budget says, for each service, how close the repeated sends came to the bound.
 	Budget   []string
 	Breaches []Breach
@@ -142,7 +142,7 @@
 	r.collectAllStates()
 	result.Budget, result.Repeats = r.history.budgetSummary()
 	result.Breaches = append(result.Breaches, r.history.breaches()...)
-	result.Ended = r.poisons.count()
+	result.EnginesCrashed = r.poisons.count()
 	result.Breaches = append(result.Breaches, r.poisonBreaches()...)
 	result.Breaches = append(result.Breaches, r.checkRecovery(ctx)...)
 	return result, nil
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -20,15 +20,15 @@
 		t.Fatal(err)
 	}
 	t.Chdir(root) // the programs are built from the repository's root
-	result, err := Run(t.Context(), Params{Seed: 6, For: 12 * time.Second, Entries: 2, Engines: 3, Plain: 4, Dir: t.TempDir()})
+	result, err := Run(t.Context(), Params{Seed: 6, FaultDuration: 12 * time.Second, Entries: 2, Engines: 3, Plain: 4, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if result.Answered == 0 || len(result.Faults) == 0 {
 		t.Errorf("%d requests answered and %d faults injected, want at least one of each", result.Answered, len(result.Faults))
 	}
-	if result.KeptClear == 0 || result.Repeats == 0 {
-		t.Errorf("%d undisturbed requests on reused connections and %d repeated sends, want at least one of each", result.KeptClear, result.Repeats)
+	if result.UndisturbedReused == 0 || result.Repeats == 0 {
+		t.Errorf("%d undisturbed requests on reused connections and %d repeated sends, want at least one of each", result.UndisturbedReused, result.Repeats)
 	}
 	for _, b := range result.Breaches {
 		t.Errorf("%s: %s", b.Promise, b.Detail)
