--- a/command/dispatch/find.go
+++ b/command/dispatch/acquire.go
@@ -13,19 +13,19 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// find returns a replica that has all that the request needs, after having it
-// loaded if need be. Those that refused the request before are passed over
-// until a wake has confirmed what is loaded.
-func (d *Dispatcher) find(ctx context.Context, req Request, refused map[string]bool, result *Result) (room, error) {
-	for range maxFinds {
+// acquire reserves capacity on a replica that holds all units of the request,
+// and has missing units loaded first. Engines in refused are skipped until a
+// wake has confirmed what is loaded; refused is then cleared.
+func (d *Dispatcher) acquire(ctx context.Context, req Request, refused map[string]bool, result *Result) (reservation, error) {
+	for range maxAcquireRounds {
 		index := d.tables.Config.Index()
 		units, err := unitsOf(index, req)
 		if err != nil {
-			return room{}, err
+			return reservation{}, err
 		}
 		if len(d.candidates(units, refused)) > 0 {
-			found, err := d.await(ctx, req, units, refused)
-			if err != nil || found.done != nil {
+			found, err := d.awaitCapacity(ctx, req, units, refused)
+			if err != nil || found.release != nil {
 				return found, err
 			}
 		}
@@ -33,50 +33,52 @@
 		missing := d.firstMissing(index, units)
 		if _, err := d.waker.Wake(ctx, missing); err != nil {
 			if d.firstMissing(index, units) != missing && ctx.Err() == nil {
-				continue // the adapter's model has gone meanwhile
+				continue // the adapter's model was unloaded in the meantime
 			}
-			return room{}, err
+			return reservation{}, err
 		}
 		clear(refused)
-		if err := d.awaitNews(ctx, index, units, missing); err != nil {
-			return room{}, err
+		if err := d.awaitResident(ctx, index, units, missing); err != nil {
+			return reservation{}, err
 		}
 	}
-	return room{}, verdict.Refuse(verdict.ReasonNoReplica, "%s was loaded and gone again %d times", req.Model, maxFinds)
+	return reservation{}, verdict.Refuse(verdict.ReasonNoReplica, "%s was loaded and gone again %d times", req.Model, maxAcquireRounds)
 }
 
-// room is a place on a replica that was taken for a request. done gives it back.
-type room struct {
-	engine table.EngineView
-	done   func(failed bool)
+// reservation is capacity on a replica reserved for one request. release returns
+// it; failed tells the balancer that the backend server was at fault.
+type reservation struct {
+	engine  table.EngineView
+	release func(failed bool)
 }
 
-// await waits in line for room on a replica. It returns no room when there is
-// no replica any more.
-func (d *Dispatcher) await(ctx context.Context, req Request, units []backend.Unit, refused map[string]bool) (room, error) {
+// awaitCapacity queues the request until a replica has capacity. It returns the
+// zero reservation if no replica is left.
+func (d *Dispatcher) awaitCapacity(ctx context.Context, req Request, units []backend.Unit, refused map[string]bool) (reservation, error) {
 	deadline, _ := ctx.Deadline()
 	waiter := admission.Waiter{
 		Model: req.Model, Caller: req.Caller, Priority: req.Priority, Deadline: deadline,
-		Service: d.soonest(units, refused, req.MaxTokens),
+		Service: d.minServiceTime(units, refused, req.MaxTokens),
 	}
-	var found room
+	var found reservation
 	err := d.line.Wait(ctx, waiter, func() bool {
 		candidates := d.candidates(units, refused)
 		if len(candidates) == 0 {
-			return true // to be woken again
+			return true // no replica is left: acquire has one loaded again
 		}
 		domain := d.tables.Members.Self().FailureDomain
 		chosen, ok := d.balancer.Choose(candidates, domain, req.Session, time.Now())
 		if ok {
-			found = room{chosen, d.balancer.Sent(chosen.Engine)}
+			found = reservation{chosen, d.balancer.Sent(chosen.Engine)}
 		}
 		return ok
 	})
 	return found, err
 }
 
-// soonest returns the observed time of a request on the fastest replica.
-func (d *Dispatcher) soonest(units []backend.Unit, refused map[string]bool, tokens int) time.Duration {
+// minServiceTime returns the observed duration of a request of the given number
+// of tokens on the fastest replica, 0 if there is none.
+func (d *Dispatcher) minServiceTime(units []backend.Unit, refused map[string]bool, tokens int) time.Duration {
 	var best time.Duration
 	for i, r := range d.candidates(units, refused) {
 		if s := d.balancer.Service(r.Engine, tokens); i == 0 || s < best {
@@ -86,37 +88,40 @@
 	return best
 }
 
-// candidates lists the replicas that a request may be sent to.
+// candidates returns the replicas that a request may be sent to.
 func (d *Dispatcher) candidates(units []backend.Unit, refused map[string]bool) []table.EngineView {
 	replicas := slices.DeleteFunc(d.replicas(d.tables.Config.Index(), units), func(e table.EngineView) bool { return refused[e.Engine] })
 	return d.preferReachable(replicas)
 }
 
-// Run serves requests in line whenever an engine has news, until ctx ends.
+// Run grants capacity to queued requests and scales up busy models whenever the
+// state of an engine changes, until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
 	for {
 		_, changed := d.tables.Engines.Mark()
 		d.line.Poke()
-		d.growBusy(ctx)
+		d.scaleUpBusy(ctx)
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return
 		}
-		if !pause.For(ctx, pokeGap) {
+		if !pause.For(ctx, minRunInterval) {
 			return
 		}
 	}
 }
 
-// pokeGap is the shortest pause between two looks for news of engines.
-const pokeGap = 20 * time.Millisecond
+// minRunInterval is the minimum time between two rounds of Run.
+const minRunInterval = 20 * time.Millisecond
 
-// maxFinds bounds how often a request waits for what it needs: its model, its
-// adapter, and each once more if it was unloaded meanwhile.
-const maxFinds = 4
+// maxAcquireRounds limits how often a request waits for a missing unit: once each
+// for its model and its adapter, and once more each if it was unloaded in the
+// meantime.
+const maxAcquireRounds = 4
 
-// unitsOf lists what an engine must hold for the request, the model first.
+// unitsOf returns the units that an engine must hold to serve the request, the
+// model first.
 func unitsOf(index *declaration.Index, req Request) ([]backend.Unit, error) {
 	model, found := index.Models[req.Model]
 	if !found {
@@ -136,7 +141,7 @@
 	return append(units, backend.Unit{Model: model.Name, Adapter: adapter.Name, Version: adapter.Version}), nil
 }
 
-// replicas lists the engines that hold all units and stay.
+// replicas returns the usable engines that hold all units and are not declared lost.
 func (d *Dispatcher) replicas(index *declaration.Index, units []backend.Unit) []table.EngineView {
 	var out []table.EngineView
 	for _, e := range d.tables.Engines.All() {
@@ -148,9 +153,9 @@
 	return out
 }
 
-// preferReachable leaves out replicas in failure domains of which no instance
-// is known to be alive, unless there are no others: their domain may be cut
-// off, and what is known of them old.
+// preferReachable drops replicas in failure domains without an instance known to
+// be alive, unless no others exist: such a domain may be partitioned from this
+// one, and the state of its replicas may be stale.
 func (d *Dispatcher) preferReachable(replicas []table.EngineView) []table.EngineView {
 	var out []table.EngineView
 	for _, r := range replicas {
@@ -173,7 +178,8 @@
 	return true
 }
 
-// firstMissing returns the model if no engine has it, else the adapter.
+// firstMissing returns the model unit if no engine holds it or no adapter is
+// required, else the adapter unit.
 func (d *Dispatcher) firstMissing(index *declaration.Index, units []backend.Unit) backend.Unit {
 	if len(units) == 1 || len(d.replicas(index, units[:1])) == 0 {
 		return units[0]
@@ -181,10 +187,11 @@
 	return units[1]
 }
 
-// awaitNews waits until this instance has heard that the unit is resident,
-// which it may learn a little later than that the wake is done.
-func (d *Dispatcher) awaitNews(ctx context.Context, index *declaration.Index, units []backend.Unit, missing backend.Unit) error {
-	ctx, cancel := context.WithTimeout(ctx, newsLimit)
+// awaitResident waits until this instance's tables show the missing unit as
+// resident, which may be a little later than the return of Wake. It fails after
+// residentTimeout.
+func (d *Dispatcher) awaitResident(ctx context.Context, index *declaration.Index, units []backend.Unit, missing backend.Unit) error {
+	ctx, cancel := context.WithTimeout(ctx, residentTimeout)
 	defer cancel()
 	for {
 		_, changed := d.tables.Engines.Mark()
@@ -199,5 +206,5 @@
 	}
 }
 
-// newsLimit is how long word of a finished load may take to get here.
-const newsLimit = 5 * time.Second
+// residentTimeout limits the wait for the report of a finished load.
+const residentTimeout = 5 * time.Second
--- a/command/dispatch/attempt.go
+++ b/command/dispatch/attempt.go
@@ -11,12 +11,12 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// attempt sends the request once, resumes its answer where it breaks off, and
-// cancels it at the engine when it is given up.
-func (d *Dispatcher) attempt(ctx context.Context, taken room, req Request, sink Sink, result *Result) (err error) {
+// attempt sends the request to the reserved replica once, resumes a broken
+// answer stream, and cancels the attempt at the engine if it is abandoned.
+func (d *Dispatcher) attempt(ctx context.Context, reserved reservation, req Request, sink Sink, result *Result) (err error) {
 	defer d.line.Poke()
-	defer func() { taken.done(blames(err)) }()
-	view := taken.engine
+	defer func() { reserved.release(isServerFault(err)) }()
+	view := reserved.engine
 	declared, found := d.tables.Config.Index().Engines[view.Engine]
 	if !found {
 		return verdict.Refuse(verdict.ReasonNoReplica, "engine %s is not declared any more", view.Engine)
@@ -29,14 +29,14 @@
 	a := newAttempt(req, units[len(units)-1])
 	d.events.Record(event.Event{Kind: event.KindAttempt, Request: req.ID, Model: req.Model, Engine: view.Engine, Detail: "attempt=" + a.ID})
 	result.Tokens = 0
-	timed := d.timed(view.Engine, req, sink)
+	timed := d.newTimedSink(view.Engine, req, sink)
 	err = d.run(ctx, engine, a, timed, result)
 	if err == nil {
 		timed.finish()
 		return nil
 	}
 	d.events.Record(event.Event{Kind: event.KindAttemptFail, Request: req.ID, Model: req.Model, Engine: view.Engine, Detail: err.Error()})
-	d.giveUp(ctx, engine, a, err)
+	d.cancelAttempt(ctx, engine, a, err)
 	return err
 }
 
@@ -47,8 +47,8 @@
 	}
 }
 
-// blames reports whether the failure speaks against the backend server.
-func blames(err error) bool {
+// isServerFault reports whether err counts as a failure of the backend server.
+func isServerFault(err error) bool {
 	if err == nil {
 		return false
 	}
@@ -56,8 +56,9 @@
 	return reason == verdict.ReasonBackend || reason == verdict.ReasonBroken
 }
 
-// giveUp cancels an attempt that may still run.
-func (d *Dispatcher) giveUp(ctx context.Context, engine backend.Engine, a backend.Attempt, err error) {
+// cancelAttempt asks the engine, in the background, to cancel a failed attempt
+// that may still be running.
+func (d *Dispatcher) cancelAttempt(ctx context.Context, engine backend.Engine, a backend.Attempt, err error) {
 	if verdict.Of(err).Verdict == verdict.NotRun {
 		return
 	}
@@ -68,6 +69,8 @@
 	}()
 }
 
+// run streams the answer of attempt a to sink and resumes it up to MaxResumes
+// times when the stream breaks off.
 func (d *Dispatcher) run(ctx context.Context, engine backend.Engine, a backend.Attempt, sink Sink, result *Result) error {
 	for resume := 0; ; resume++ {
 		err := d.stream(ctx, engine, &a, sink, result)
@@ -76,18 +79,19 @@
 		}
 		f := verdict.Of(err)
 		if a.Resume {
-			// The engine's NotRun is about the resumption only.
+			// NotRun from the engine covers only the resumption, not the original attempt.
 			f = f.WithVerdict(max(f.Verdict, verdict.MayHaveRun))
 		}
 		if ctx.Err() != nil || f.Reason != verdict.ReasonBroken || resume == d.params.MaxResumes {
-			return timedOut(ctx, f)
+			return withContextReason(ctx, f)
 		}
 		a.Resume = true
 	}
 }
 
-// timedOut names the deadline or the caller as the reason where that is so.
-func timedOut(ctx context.Context, f *verdict.Failure) error {
+// withContextReason returns f, with the reason replaced by ReasonDeadline or
+// ReasonCancelled if ctx has ended.
+func withContextReason(ctx context.Context, f *verdict.Failure) error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return verdict.New(f.Verdict, verdict.ReasonDeadline, "deadline passed: %s", f.Detail)
@@ -97,7 +101,8 @@
 	return f
 }
 
-// stream takes tokens from a.From on until the end.
+// stream reads tokens from a.From up to the end token and passes them to sink.
+// It advances a.From past each delivered token, so that a can be resumed.
 func (d *Dispatcher) stream(ctx context.Context, engine backend.Engine, a *backend.Attempt, sink Sink, result *Result) error {
 	s, err := engine.Generate(ctx, *a)
 	if err != nil {
--- a/command/dispatch/budget.go
+++ b/command/dispatch/budget.go
@@ -2,35 +2,35 @@
 
 import "sync"
 
-// budget bounds retries to a part of the requests, so that a backend server in
-// trouble is not sent several times the load, and a storm of retries does not
-// cross into other failure domains.
+// budget limits retries to a fraction of the requests, so that retries neither
+// multiply the load on a failing backend server nor spread an overload to other
+// failure domains.
 type budget struct {
-	ratio float64 // retries earned by each request
-	most  float64 // retries that can be saved up
+	ratio float64 // retries added per request
+	burst float64 // maximum number of retries that accumulate
 
-	mu   sync.Mutex
-	left float64 // guarded by mu
+	mu        sync.Mutex
+	available float64 // retries available; guarded by mu
 }
 
-func newBudget(ratio float64, most int) *budget {
-	return &budget{ratio: ratio, most: float64(most), left: float64(most)}
+func newBudget(ratio float64, burst int) *budget {
+	return &budget{ratio: ratio, burst: float64(burst), available: float64(burst)}
 }
 
-// earn is called for each request.
+// earn adds the share of one request to the budget.
 func (b *budget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.most, b.left+b.ratio)
+	b.available = min(b.burst, b.available+b.ratio)
 }
 
-// spend reports whether a retry is within the budget, and takes it.
+// spend takes one retry from the budget and reports whether one was available.
 func (b *budget) spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.left--
+	b.available--
 	return true
 }
--- a/command/dispatch/call.go
+++ b/command/dispatch/call.go
@@ -12,7 +12,7 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// ServiceRequest is one call of a plain service.
+// ServiceRequest is one call to a plain service.
 type ServiceRequest struct {
 	ID      string
 	Service string
@@ -26,14 +26,15 @@
 	dial       func(address string) backend.Service
 }
 
-// NewCaller returns a caller of plain services that shares the dispatcher's
-// bounds, tables and account of servers.
+// NewCaller returns a Caller that shares the dispatcher's parameters, tables,
+// retry budget and backend server statistics.
 func NewCaller(d *Dispatcher, dial func(address string) backend.Service) *Caller {
 	return &Caller{dispatcher: d, dial: dial}
 }
 
-// Call sends the call to one instance of the service, and to others as far as
-// the verdicts and the method's declaration permit.
+// Call sends the call to one server of the service, and retries on other servers
+// as far as the verdict, the method's idempotency and the retry budget permit.
+// The error is a *verdict.Failure whose verdict covers all attempts.
 func (c *Caller) Call(ctx context.Context, req ServiceRequest) ([]byte, error) {
 	service, method, err := FindMethod(c.dispatcher.tables.Config.Index(), req.Service, req.Method)
 	if err != nil {
@@ -41,7 +42,7 @@
 	}
 	worst := verdict.NotRun
 	c.dispatcher.budget.earn()
-	servers := c.order(service)
+	servers := c.serversInOrder(service)
 	for attempt := 1; ; attempt++ {
 		if len(servers) == 0 {
 			return nil, verdict.New(worst, verdict.ReasonNoReplica, "service %s has no instance left to try", service.Name)
@@ -59,7 +60,8 @@
 	}
 }
 
-// FindMethod returns the declared service and method.
+// FindMethod returns the declared service and method, or a *verdict.Failure if
+// either is not declared.
 func FindMethod(index *declaration.Index, service, method string) (*declaration.Service, *declaration.Method, error) {
 	s, found := index.Services[service]
 	if !found {
@@ -72,9 +74,9 @@
 	return s, m, nil
 }
 
-// order lists the service's instances, those of the own failure domain first,
-// shuffled within.
-func (c *Caller) order(s *declaration.Service) []declaration.Backend {
+// serversInOrder returns the service's servers that are not leaving, those in
+// this instance's failure domain first, in random serversInOrder within each group.
+func (c *Caller) serversInOrder(s *declaration.Service) []declaration.Backend {
 	domain := c.dispatcher.tables.Members.Self().FailureDomain
 	var near, far []declaration.Backend
 	for _, i := range rand.Perm(len(s.Instances)) {
@@ -91,16 +93,17 @@
 	return append(near, far...)
 }
 
+// attempt sends the call once to the given server.
 func (c *Caller) attempt(ctx context.Context, server declaration.Backend, req ServiceRequest) ([]byte, error) {
 	d := c.dispatcher
 	call := backend.Call{ID: uuid.NewString(), Method: req.Method, Body: req.Body}
 	d.events.Record(event.Event{Kind: event.KindAttempt, Request: req.ID, Engine: server.Name, Detail: "attempt=" + call.ID})
 	done := d.balancer.Sent(server.Name)
 	body, err := c.dial(server.Address).Call(ctx, call)
-	done(blames(err))
+	done(isServerFault(err))
 	if err != nil {
 		d.events.Record(event.Event{Kind: event.KindAttemptFail, Request: req.ID, Engine: server.Name, Detail: err.Error()})
-		return nil, timedOut(ctx, verdict.Of(err))
+		return nil, withContextReason(ctx, verdict.Of(err))
 	}
 	return body, nil
 }
--- a/command/dispatch/call_test.go
+++ b/command/dispatch/call_test.go
@@ -11,15 +11,17 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// scriptedService plays verdicts in turn, then answers.
+// scriptedService fails calls with the scripted verdicts in order (0 answers the
+// call), and answers all calls after them.
 type scriptedService struct {
 	script []verdict.Verdict
 	calls  []string // addresses called
-	mayRun int
+	mayRun int      // calls that ran or may have run
 }
 
 func (s *scriptedService) dial(address string) backend.Service { return serviceAt{s, address} }
 
+// serviceAt is the scripted service as reached at one address.
 type serviceAt struct {
 	*scriptedService
 	address string
@@ -40,9 +42,10 @@
 	return []byte("done"), nil
 }
 
-// newCaller has a service of three instances, one of which is leaving.
+// newCaller returns a Caller with one declared service of three servers, one of
+// which is leaving.
 func newCaller(t interface{ Fatal(...any) }, s *scriptedService) *Caller {
-	d := newDispatcher(t, &scripted{attempts: map[string]int{}})
+	d := newDispatcher(t, &scriptedEngine{attempts: map[string]int{}})
 	accepted := &table.Accepted{Generation: 2}
 	err := accepted.SetSource([]byte(`failureDomains: [a, b]
 weightStore: {startsPerSecond: 3, streams: 4}
@@ -68,23 +71,24 @@
 	return NewCaller(d, s.dial)
 }
 
-// TestCalls: whatever instances of a service do, a call that may not be
-// repeated has at most one try that may have run, NotRun is true, and an
-// instance that is leaving gets nothing.
+// TestCalls guards against duplicate execution of non-idempotent calls. For any
+// sequence of server failures, such a call has at most one attempt that may have
+// run, NotRun is reported only if nothing may have run, servers in the own failure
+// domain come first, and a leaving server receives no call.
 func TestCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &scriptedService{script: rapid.SliceOfN(rapid.SampledFrom([]verdict.Verdict{0, verdict.NotRun, verdict.MayHaveRun, verdict.Ran}), 0, 4).Draw(t, "script")}
 		method := rapid.SampledFrom([]string{"confirm", "lookup"}).Draw(t, "method")
 		_, err := newCaller(t, s).Call(context.Background(), ServiceRequest{ID: "r", Service: "notices", Method: method})
 		if method == "confirm" && s.mayRun > 1 {
-			t.Fatalf("%d tries may have run", s.mayRun)
+			t.Fatalf("%d attempts of a non-idempotent call may have run, want at most 1", s.mayRun)
 		}
 		if err != nil && verdict.Of(err).Verdict == verdict.NotRun && s.mayRun > 0 {
-			t.Fatalf("%v, but %d tries may have run", err, s.mayRun)
+			t.Fatalf("verdict NotRun (%v), but %d attempts may have run", err, s.mayRun)
 		}
 		for i, address := range s.calls {
 			if address == "leaving:1" || (i == 0 && address != "near:1") {
-				t.Fatalf("called %v", s.calls)
+				t.Fatalf("called servers %v, want near:1 first and leaving:1 not at all", s.calls)
 			}
 		}
 	})
--- a/command/dispatch/dispatch.go
+++ b/command/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch brings a request to a replica and its answer back whole. It
-// finds or wakes a replica, sends attempts, and decides about retries by the
-// verdict alone.
+// Package dispatch sends requests to replicas and returns their complete
+// answers. It finds a replica or has one loaded, sends attempts, and decides on
+// retries from the verdict of the failed attempt alone.
 package dispatch
 
 import (
@@ -18,28 +18,29 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// Params bound what is done for one request.
+// Params configures a Dispatcher.
 type Params struct {
-	// MaxAttempts bounds the attempts, the first included.
+	// MaxAttempts is the maximum number of attempts per request, including the first.
 	MaxAttempts int
-	// MaxResumes bounds how often one attempt's broken answer is resumed.
+	// MaxResumes is the maximum number of times that a broken answer of one
+	// attempt is resumed.
 	MaxResumes int
-	// RetryPause is the pause before a second attempt.
+	// RetryPause is the pause before each further attempt.
 	RetryPause time.Duration
-	// CancelTimeout bounds the cancel of an abandoned attempt.
+	// CancelTimeout limits the call that cancels an abandoned attempt.
 	CancelTimeout time.Duration
-	// RetryRatio is how many retries each request earns, and RetryBurst how
-	// many can be saved up.
+	// RetryRatio is the number of retries that each request adds to the retry
+	// budget, RetryBurst the maximum that accumulates there.
 	RetryRatio float64
 	RetryBurst int
 }
 
-// DefaultParams returns the bounds used unless set otherwise.
+// DefaultParams returns the default parameters.
 func DefaultParams() Params {
 	return Params{MaxAttempts: 3, MaxResumes: 2, RetryPause: 20 * time.Millisecond, CancelTimeout: 2 * time.Second, RetryRatio: 0.2, RetryBurst: 100}
 }
 
-// Request is one request of a caller.
+// Request is one inference request.
 type Request struct {
 	ID         string
 	Model      string
@@ -49,69 +50,70 @@
 	Priority   int
 	Session    string
 	Idempotent bool
-	// Caller is whose turn it is when requests have to wait.
+	// Caller identifies the sender; queued requests are served fairly per caller.
 	Caller string
 }
 
-// Result says where a request was answered.
+// Result describes how a request was served.
 type Result struct {
 	Engine string
 	Tokens int
-	// Cold is set when the request waited for a load.
+	// Cold is set if the request had to wait for a model or adapter to load.
 	Cold bool
 }
 
-// Sink takes the tokens of an answer in order.
+// Sink receives the tokens of an answer in order.
 type Sink interface {
-	// Token takes the next token. An error means that the caller has gone.
+	// Token receives the next token. An error means that the caller has disconnected.
 	Token(t backend.Token) error
-	// Restart discards the tokens taken so far and reports whether that is
-	// still possible.
+	// Restart discards the tokens received so far, so that another attempt can
+	// start over. It returns false if they can no longer be discarded.
 	Restart() bool
 }
 
-// Waker has units loaded.
+// Waker loads units onto engines.
 type Waker interface {
-	// Wake has at least one replica loaded and names its engine.
+	// Wake ensures that at least one replica of u is loaded and returns the name
+	// of its engine.
 	Wake(ctx context.Context, u backend.Unit) (string, error)
-	// Grow has one replica more loaded than the number given, if operators
-	// and engines permit.
+	// Grow loads one replica more than the given number, if the declared limit
+	// and the engines' memory permit.
 	Grow(ctx context.Context, u backend.Unit, replicas int) error
-	// LoadTime is the expected time of a load that finds nothing cached.
+	// LoadTime returns the expected duration of a load of the given number of
+	// bytes with nothing cached.
 	LoadTime(memory int64) time.Duration
 }
 
-// Dispatcher dispatches the requests of one instance.
+// Dispatcher dispatches the requests received by one entry instance.
 type Dispatcher struct {
-	params   Params
-	tables   *table.Tables
-	events   *event.Recorder
-	balancer *routing.Balancer
-	line     *admission.Line
-	waker    Waker
-	dial     func(declaration.Engine) backend.Engine
-	budget   *budget
-	growing  sync.Map // models for which a replica is being asked for
+	params    Params
+	tables    *table.Tables
+	events    *event.Recorder
+	balancer  *routing.Balancer
+	line      *admission.Line
+	waker     Waker
+	dial      func(declaration.Engine) backend.Engine
+	budget    *budget
+	scalingUp sync.Map // names of models with a scale-up in progress
 }
 
-// New returns a dispatcher that reaches engines by dial.
+// New returns a Dispatcher that uses dial to obtain the client of an engine.
 func New(params Params, tables *table.Tables, events *event.Recorder, balancer *routing.Balancer, line *admission.Line, waker Waker, dial func(declaration.Engine) backend.Engine) *Dispatcher {
 	return &Dispatcher{params: params, tables: tables, events: events, balancer: balancer, line: line, waker: waker, dial: dial, budget: newBudget(params.RetryRatio, params.RetryBurst)}
 }
 
-// Generate runs the request within ctx's deadline and hands the answer to
-// sink. An error is a *verdict.Failure whose verdict holds for all attempts
-// together.
+// Generate runs the request within ctx's deadline and passes the answer to
+// sink. The error is a *verdict.Failure whose verdict covers all attempts.
 func (d *Dispatcher) Generate(ctx context.Context, req Request, sink Sink) (Result, error) {
 	var result Result
 	worst := verdict.NotRun
 	d.budget.earn()
 	refused := map[string]bool{}
 	for attempt := 1; ; attempt++ {
-		room, err := d.find(ctx, req, refused, &result)
+		reserved, err := d.acquire(ctx, req, refused, &result)
 		if err == nil {
-			result.Engine = room.engine.Engine
-			err = d.attempt(ctx, room, req, sink, &result)
+			result.Engine = reserved.engine.Engine
+			err = d.attempt(ctx, reserved, req, sink, &result)
 			refused[result.Engine] = true
 		}
 		if err == nil {
--- a/command/dispatch/dispatch_test.go
+++ b/command/dispatch/dispatch_test.go
@@ -20,30 +20,31 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// outcome is what a scripted engine does with one call of Generate.
+// outcome is the scripted result of one call to Generate.
 type outcome struct {
-	// refuse, if set, is the verdict with which the call fails at once.
+	// refuse, if not 0, is the verdict with which the call fails immediately.
 	refuse verdict.Verdict
-	// tokens are sent before the answer ends, or breaks off if broken is set.
+	// tokens is the number of tokens before the answer breaks off, if broken is set.
 	tokens int
 	broken bool
-	// foreign sends a token of another attempt in the middle, skipped leaves
-	// one out.
+	// foreign puts a token of another attempt into the middle of the answer,
+	// skipped omits one there.
 	foreign, skipped bool
 }
 
-// scripted is an engine that plays outcomes in turn, then answers whole.
-type scripted struct {
+// scriptedEngine is an engine whose calls to Generate have the scriptedEngine outcomes
+// in order; all calls after them return a complete answer.
+type scriptedEngine struct {
 	backend.Engine
 	script    []outcome
-	attempts  map[string]int // calls by attempt id
-	mayRun    int            // attempts that ran or may have
+	attempts  map[string]int // number of calls by attempt ID
+	mayRun    int            // attempts that ran or may have run
 	cancelled atomic.Int64
 }
 
 const answerTokens = 6
 
-func (e *scripted) Generate(_ context.Context, a backend.Attempt) (backend.Stream, error) {
+func (e *scriptedEngine) Generate(_ context.Context, a backend.Attempt) (backend.Stream, error) {
 	o := outcome{tokens: answerTokens}
 	if len(e.script) > 0 {
 		o, e.script = e.script[0], e.script[1:]
@@ -61,13 +62,13 @@
 	return &scriptedStream{outcome: o, attempt: a.ID, next: a.From}, nil
 }
 
-func (e *scripted) Cancel(context.Context, string) error {
+func (e *scriptedEngine) Cancel(context.Context, string) error {
 	e.cancelled.Add(1)
 	return nil
 }
 
-// scriptedStream keeps to the contract of backend.Stream: tokens that are not
-// the attempt's own next one come out as broken.
+// scriptedStream implements the contract of backend.Stream: a token that is not
+// the next one of the attempt is reported as a broken answer.
 type scriptedStream struct {
 	outcome
 	attempt string
@@ -91,18 +92,19 @@
 
 func (s *scriptedStream) Close() error { return nil }
 
-// text is a sink; sent says that its tokens have left and cannot be taken back.
-type text struct {
+// textSink collects the answer. If sent is set, tokens already received cannot be
+// discarded.
+type textSink struct {
 	strings.Builder
 	sent bool
 }
 
-func (s *text) Token(t backend.Token) error {
+func (s *textSink) Token(t backend.Token) error {
 	s.WriteString(t.Text)
 	return nil
 }
 
-func (s *text) Restart() bool {
+func (s *textSink) Restart() bool {
 	if s.sent && s.Len() > 0 {
 		return false
 	}
@@ -110,15 +112,16 @@
 	return true
 }
 
-type noWaker struct{}
+type fakeWaker struct{}
 
-func (noWaker) Wake(context.Context, backend.Unit) (string, error) { return "e1", nil }
+func (fakeWaker) Wake(context.Context, backend.Unit) (string, error) { return "e1", nil }
 
-func (noWaker) Grow(context.Context, backend.Unit, int) error { return nil }
-func (noWaker) LoadTime(int64) time.Duration                  { return time.Hour }
+func (fakeWaker) Grow(context.Context, backend.Unit, int) error { return nil }
+func (fakeWaker) LoadTime(int64) time.Duration                  { return time.Hour }
 
-// newDispatcher has one model resident on two engines played by e.
-func newDispatcher(t interface{ Fatal(...any) }, e *scripted) *Dispatcher {
+// newDispatcher returns a Dispatcher with one model that is resident on two
+// engines, both served by e.
+func newDispatcher(t interface{ Fatal(...any) }, e *scriptedEngine) *Dispatcher {
 	tables := table.New(table.Member{Name: "i", FailureDomain: "a"})
 	accepted := &table.Accepted{Generation: 1}
 	err := accepted.SetSource([]byte(`failureDomains: [a]
@@ -143,19 +146,21 @@
 		}})
 	}
 	return New(DefaultParams(), tables, event.NewRecorder("i", &event.Clock{}, 16, nil), routing.NewBalancer(routing.DefaultParams()),
-		admission.NewLine(admission.LineParams{MaxWaiting: 10}), noWaker{}, func(declaration.Engine) backend.Engine { return e })
+		admission.NewLine(admission.LineParams{MaxWaiting: 10}), fakeWaker{}, func(declaration.Engine) backend.Engine { return e })
 }
 
-func (d *Dispatcher) try(sink Sink, idempotent bool) error {
+// generate runs one request with a deadline of 30 s.
+func (d *Dispatcher) generate(sink Sink, idempotent bool) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	_, err := d.Generate(ctx, Request{ID: "r", Model: "m", Prompt: "p", MaxTokens: answerTokens, Idempotent: idempotent}, sink)
 	return err
 }
 
-const whole = "0 1 2 3 4 5 "
+const completeAnswer = "0 1 2 3 4 5 "
 
-// TestAnswers: what each fault of an engine leads to.
+// TestAnswers checks the outcome of a request for each kind of engine failure,
+// and that attempts which may still run are cancelled.
 func TestAnswers(t *testing.T) {
 	notRun, mayHaveRun := outcome{refuse: verdict.NotRun}, outcome{refuse: verdict.MayHaveRun}
 	broken := outcome{tokens: 3, broken: true}
@@ -180,15 +185,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e := &scripted{script: c.script, attempts: map[string]int{}}
-				sink := &text{sent: c.sent}
-				err := newDispatcher(t, e).try(sink, c.idempotent)
+				e := &scriptedEngine{script: c.script, attempts: map[string]int{}}
+				sink := &textSink{sent: c.sent}
+				err := newDispatcher(t, e).generate(sink, c.idempotent)
 				synctest.Wait()
 				switch {
-				case c.want == 0 && (err != nil || sink.String() != whole):
-					t.Errorf("%q %v", sink.String(), err)
+				case c.want == 0 && (err != nil || sink.String() != completeAnswer):
+					t.Errorf("answer %q, error %v, want the complete answer", sink.String(), err)
 				case c.want != 0 && (err == nil || verdict.Of(err).Verdict != c.want):
-					t.Errorf("%v, want %v", err, c.want)
+					t.Errorf("error %v, want verdict %v", err, c.want)
 				}
 				if c.want == verdict.MayHaveRun && e.cancelled.Load() == 0 {
 					t.Error("the abandoned attempt was not cancelled")
@@ -198,11 +203,13 @@
 	}
 }
 
-// TestVerdicts: whatever engines do, a request that is not idempotent has at
-// most one attempt that may have run, an answer is whole, and NotRun is true.
+// TestVerdicts guards against duplicate execution, truncated answers and wrong
+// verdicts: for any sequence of engine failures, a non-idempotent request has at
+// most one attempt that may have run, an answer is complete, and NotRun is
+// reported only if no attempt may have run.
 func TestVerdicts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := &scripted{attempts: map[string]int{}}
+		e := &scriptedEngine{attempts: map[string]int{}}
 		for range rapid.IntRange(0, 6).Draw(t, "faults") {
 			e.script = append(e.script, outcome{
 				refuse:  rapid.SampledFrom([]verdict.Verdict{0, verdict.NotRun, verdict.MayHaveRun, verdict.Ran}).Draw(t, "refuse"),
@@ -212,32 +219,33 @@
 			})
 		}
 		idempotent := rapid.Bool().Draw(t, "idempotent")
-		sink := &text{sent: rapid.Bool().Draw(t, "sent")}
-		err := newDispatcher(t, e).try(sink, idempotent)
+		sink := &textSink{sent: rapid.Bool().Draw(t, "sent")}
+		err := newDispatcher(t, e).generate(sink, idempotent)
 		if !idempotent && e.mayRun > 1 {
-			t.Fatalf("%d attempts may have run", e.mayRun)
+			t.Fatalf("%d attempts of a non-idempotent request may have run, want at most 1", e.mayRun)
 		}
-		if err == nil && sink.String() != whole {
-			t.Fatalf("answered with %q", sink.String())
+		if err == nil && sink.String() != completeAnswer {
+			t.Fatalf("incomplete answer %q", sink.String())
 		}
 		if err != nil && verdict.Of(err).Verdict == verdict.NotRun && e.mayRun > 0 {
-			t.Fatalf("%v, but %d attempts may have run", err, e.mayRun)
+			t.Fatalf("verdict NotRun (%v), but %d attempts may have run", err, e.mayRun)
 		}
 	})
 }
 
-// TestRetryBudget: with every attempt refused, attempts stay near the number of
-// requests, not at its threefold.
+// TestRetryBudget guards against retry storms: when every attempt is refused, the
+// number of attempts stays within the retry budget, instead of growing to
+// MaxAttempts times the number of requests.
 func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const requests = 1000
-		e := &scripted{attempts: map[string]int{}}
+		e := &scriptedEngine{attempts: map[string]int{}}
 		for range requests * 3 {
 			e.script = append(e.script, outcome{refuse: verdict.NotRun})
 		}
 		d := newDispatcher(t, e)
 		for range requests {
-			if err := d.try(&text{}, true); verdict.Of(err).Verdict != verdict.NotRun {
+			if err := d.generate(&textSink{}, true); verdict.Of(err).Verdict != verdict.NotRun {
 				t.Fatal(err)
 			}
 		}
--- a/command/dispatch/timed.go
+++ b/command/dispatch/timedsink.go
@@ -7,19 +7,19 @@
 	"github.com/martenport/martenport/command/routing"
 )
 
-// timedSink passes tokens on and tells the balancer when they came.
+// timedSink forwards tokens to a Sink and reports their timing to the balancer.
 type timedSink struct {
 	Sink
 	balancer *routing.Balancer
 	server   string
-	prompt   int
-	start    time.Time
-	first    time.Time
-	tokens   int
+	prompt   int       // size of the prompt in bytes
+	start    time.Time // of the attempt
+	first    time.Time // arrival of the first token; zero before it
+	tokens   int       // number of tokens received
 }
 
-// timed wraps the sink of an attempt that starts now.
-func (d *Dispatcher) timed(server string, req Request, sink Sink) *timedSink {
+// newTimedSink wraps the sink of an attempt that starts now.
+func (d *Dispatcher) newTimedSink(server string, req Request, sink Sink) *timedSink {
 	return &timedSink{Sink: sink, balancer: d.balancer, server: server, prompt: len(req.Prompt), start: time.Now()}
 }
 
@@ -33,7 +33,7 @@
 	return s.Sink.Token(t)
 }
 
-// finish tells the balancer the pace of a whole answer.
+// finish reports the token rate of a complete answer to the balancer.
 func (s *timedSink) finish() {
 	s.balancer.Finished(s.server, s.tokens, time.Since(s.first))
 }
