--- a/command/admission/gate.go
+++ b/command/admission/gate.go
@@ -1,4 +1,5 @@
-// Package admission decides which requests an instance takes in.
+// Package admission decides which requests an instance accepts, and queues
+// accepted requests until a replica of their model has capacity.
 package admission
 
 import (
@@ -8,31 +9,32 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// Params bound what an instance takes in. A limit keeps the memory of the
-// instance bounded and a burst of one caller or model from the others.
+// Params are the limits on concurrent requests of an instance. They bound the
+// instance's memory and keep a burst from one caller, or for one model, from
+// crowding out the others.
 type Params struct {
-	// MaxRequests bounds all requests in progress or waiting.
+	// MaxRequests limits all requests in progress or queued.
 	MaxRequests int
-	// MaxPerModel bounds those of one model; a declaration may set its own.
+	// MaxPerModel limits those for one model; the declaration may override it.
 	MaxPerModel int
-	// MaxPerCaller bounds those of one caller.
+	// MaxPerCaller limits those from one caller.
 	MaxPerCaller int
-	// RetryAfter is told to callers that are refused for a limit.
+	// RetryAfter is returned to callers whose request exceeds a limit.
 	RetryAfter time.Duration
 }
 
-// Counts are the requests by their end. At every moment Accepted is the sum of
+// Counts are the numbers of requests by outcome. Accepted is always the sum of
 // the others.
 type Counts struct {
 	Accepted, Answered, Refused, Failed, Cancelled, Running int64
 }
 
-// Sum returns what Accepted must be.
+// Sum returns the sum of all counts except Accepted, which must equal Accepted.
 func (c Counts) Sum() int64 {
 	return c.Answered + c.Refused + c.Failed + c.Cancelled + c.Running
 }
 
-// Gate counts requests in and out and refuses those above the limits.
+// Gate counts requests and their outcomes and refuses requests above the limits.
 type Gate struct {
 	params Params
 
@@ -44,20 +46,21 @@
 	idle     chan struct{}  // guarded by mu; closed when draining and nothing runs
 }
 
-// NewGate returns an open gate.
+// NewGate returns a Gate that accepts requests.
 func NewGate(p Params) *Gate {
 	return &Gate{params: p, byModel: map[string]int{}, byCaller: map[string]int{}, idle: make(chan struct{})}
 }
 
-// Ticket stands for one request that was let in.
+// Ticket represents one admitted request.
 type Ticket struct {
 	gate          *Gate
 	model, caller string
 }
 
-// Enter lets a request in or refuses it. modelLimit replaces MaxPerModel when
-// above 0. A request that is refused here is counted as accepted and refused.
-func (g *Gate) Enter(model, caller string, modelLimit int) (*Ticket, error) {
+// Admit admits a request or refuses it with a *verdict.Failure. modelLimit
+// replaces MaxPerModel if above 0. A refused request is counted in both Accepted
+// and Refused.
+func (g *Gate) Admit(model, caller string, modelLimit int) (*Ticket, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.counts.Accepted++
@@ -71,7 +74,7 @@
 	return &Ticket{gate: g, model: model, caller: caller}, nil
 }
 
-// Reject counts a request that was refused before it could be let in.
+// Reject counts a request that was refused before it reached Admit.
 func (g *Gate) Reject() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -79,7 +82,8 @@
 	g.counts.Refused++
 }
 
-// check needs mu.
+// check returns the reason to refuse a request, nil if there is none. g.mu must
+// be held.
 func (g *Gate) check(model, caller string, modelLimit int) error {
 	if modelLimit <= 0 {
 		modelLimit = g.params.MaxPerModel
@@ -100,13 +104,14 @@
 	return nil
 }
 
-// Leave counts the request out by how it ended; err is nil when answered.
-func (t *Ticket) Leave(err error) {
+// Done counts the request as ended, by outcome; err is nil if it was answered. It
+// must be called once.
+func (t *Ticket) Done(err error) {
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.counts.Running--
-	*g.end(err)++
+	*g.outcomeCount(err)++
 	decrement(g.byModel, t.model)
 	decrement(g.byCaller, t.caller)
 	if g.draining && g.counts.Running == 0 {
@@ -114,8 +119,9 @@
 	}
 }
 
-// end needs mu.
-func (g *Gate) end(err error) *int64 {
+// outcomeCount returns the count for requests that ended with err. g.mu must be
+// held.
+func (g *Gate) outcomeCount(err error) *int64 {
 	if err == nil {
 		return &g.counts.Answered
 	}
@@ -145,8 +151,8 @@
 	}
 }
 
-// Drain refuses all further requests and returns a channel that is closed once
-// none is running.
+// Drain refuses all further requests and returns a channel that is closed when
+// none is running any more.
 func (g *Gate) Drain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -157,21 +163,22 @@
 	return g.idle
 }
 
-// Draining reports whether Drain was called.
+// Draining reports whether Drain has been called.
 func (g *Gate) Draining() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.draining
 }
 
-// Counts returns the requests by their end.
+// Counts returns the current request counts.
 func (g *Gate) Counts() Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.counts
 }
 
-// Waiting returns the requests of a model in progress or waiting.
+// Waiting returns the number of requests for a model that are in progress or
+// queued.
 func (g *Gate) Waiting(model string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/command/dispatch/acquire.go
+++ b/command/dispatch/acquire.go
@@ -58,10 +58,10 @@
 	deadline, _ := ctx.Deadline()
 	waiter := admission.Waiter{
 		Model: req.Model, Caller: req.Caller, Priority: req.Priority, Deadline: deadline,
-		Service: d.minServiceTime(units, refused, req.MaxTokens),
+		ServiceTime: d.minServiceTime(units, refused, req.MaxTokens),
 	}
 	var found reservation
-	err := d.line.Wait(ctx, waiter, func() bool {
+	err := d.queue.Wait(ctx, waiter, func() bool {
 		candidates := d.candidates(units, refused)
 		if len(candidates) == 0 {
 			return true // no replica is left: acquire has one loaded again
@@ -99,7 +99,7 @@
 func (d *Dispatcher) Run(ctx context.Context) {
 	for {
 		_, changed := d.tables.Engines.Mark()
-		d.line.Poke()
+		d.queue.GrantWaiting()
 		d.scaleUpBusy(ctx)
 		select {
 		case <-changed:
--- a/command/dispatch/attempt.go
+++ b/command/dispatch/attempt.go
@@ -14,7 +14,7 @@
 // attempt sends the request to the reserved replica once, resumes a broken
 // answer stream, and cancels the attempt at the engine if it is abandoned.
 func (d *Dispatcher) attempt(ctx context.Context, reserved reservation, req Request, sink Sink, result *Result) (err error) {
-	defer d.line.Poke()
+	defer d.queue.GrantWaiting()
 	defer func() { reserved.release(isServerFault(err)) }()
 	view := reserved.engine
 	declared, found := d.tables.Config.Index().Engines[view.Engine]
--- a/command/dispatch/dispatch.go
+++ b/command/dispatch/dispatch.go
@@ -90,7 +90,7 @@
 	tables    *table.Tables
 	events    *event.Recorder
 	balancer  *routing.Balancer
-	line      *admission.Line
+	queue     *admission.Queue
 	waker     Waker
 	dial      func(declaration.Engine) backend.Engine
 	budget    *budget
@@ -98,8 +98,8 @@
 }
 
 // New returns a Dispatcher that uses dial to obtain the client of an engine.
-func New(params Params, tables *table.Tables, events *event.Recorder, balancer *routing.Balancer, line *admission.Line, waker Waker, dial func(declaration.Engine) backend.Engine) *Dispatcher {
-	return &Dispatcher{params: params, tables: tables, events: events, balancer: balancer, line: line, waker: waker, dial: dial, budget: newBudget(params.RetryRatio, params.RetryBurst)}
+func New(params Params, tables *table.Tables, events *event.Recorder, balancer *routing.Balancer, queue *admission.Queue, waker Waker, dial func(declaration.Engine) backend.Engine) *Dispatcher {
+	return &Dispatcher{params: params, tables: tables, events: events, balancer: balancer, queue: queue, waker: waker, dial: dial, budget: newBudget(params.RetryRatio, params.RetryBurst)}
 }
 
 // Generate runs the request within ctx's deadline and passes the answer to
--- a/command/dispatch/dispatch_test.go
+++ b/command/dispatch/dispatch_test.go
@@ -146,7 +146,7 @@
 		}})
 	}
 	return New(DefaultParams(), tables, event.NewRecorder("i", &event.Clock{}, 16, nil), routing.NewBalancer(routing.DefaultParams()),
-		admission.NewLine(admission.LineParams{MaxWaiting: 10}), fakeWaker{}, func(declaration.Engine) backend.Engine { return e })
+		admission.NewQueue(admission.QueueParams{MaxWaiting: 10}), fakeWaker{}, func(declaration.Engine) backend.Engine { return e })
 }
 
 // generate runs one request with a deadline of 30 s.
--- a/command/dispatch/scaleup.go
+++ b/command/dispatch/scaleup.go
@@ -21,7 +21,7 @@
 // would be ready, and does not cause a load whose replica would then be idle.
 func (d *Dispatcher) scaleUpBusy(ctx context.Context) {
 	index := d.tables.Config.Index()
-	for name, busy := range d.line.Busy() {
+	for name, busy := range d.queue.BusyFor() {
 		model, found := index.Models[name]
 		if !found || busy < d.scaleUpDelay(index, model) {
 			continue
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -50,7 +50,7 @@
 	orders     *orderer.Manager
 	waker      *wake.Waker
 	gate       *admission.Gate
-	line       *admission.Line
+	queue      *admission.Queue
 	dispatcher *dispatch.Dispatcher
 	caller     *dispatch.Caller
 	runs       *runonce.Registry
@@ -93,8 +93,8 @@
 		MaxRequests: s.MaxRequests, MaxPerModel: s.MaxPerModel, MaxPerCaller: s.MaxPerCaller, RetryAfter: refusalRetry,
 	})
 	balancer := routing.NewBalancer(routing.DefaultParams())
-	c.line = admission.NewLine(admission.LineParams{MaxWaiting: s.MaxPerModel, RetryAfter: refusalRetry, Refuse: true})
-	c.dispatcher = dispatch.New(dispatch.DefaultParams(), c.tables, c.events, balancer, c.line, c.waker, ports.Engine)
+	c.queue = admission.NewQueue(admission.QueueParams{MaxWaiting: s.MaxPerModel, RetryAfter: refusalRetry, Refuse: true})
+	c.dispatcher = dispatch.New(dispatch.DefaultParams(), c.tables, c.events, balancer, c.queue, c.waker, ports.Engine)
 	c.caller = dispatch.NewCaller(c.dispatcher, ports.Service)
 	c.runs = runonce.NewRegistry(runonce.Params{Retention: s.KeyRetention, MaxHeld: s.HeldAnswers}, s.Name, c.store, answerPeers{c})
 	c.intents = intent.New(c.store, c.tables.Config, c.tables.Members.Populated)
--- a/daemon/jobs.go
+++ b/daemon/jobs.go
@@ -148,7 +148,7 @@
 	ctx, cancel := context.WithTimeout(ctx, j.deadline)
 	defer cancel()
 	start := time.Now()
-	ticket, err := c.gate.Enter(j.model, j.caller, j.modelLimit)
+	ticket, err := c.gate.Admit(j.model, j.caller, j.modelLimit)
 	if err != nil {
 		c.end(j, start, err)
 		return nil, err
@@ -161,7 +161,7 @@
 		f := verdict.Of(err)
 		err = verdict.New(f.Verdict, verdict.ReasonCancelled, "the caller cancelled or left: %s", f.Detail)
 	}
-	ticket.Leave(err)
+	ticket.Done(err)
 	c.end(j, start, err)
 	return answer, err
 }
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -29,7 +29,7 @@
 	} {
 		set.NewGauge(`martenport_requests{state="`+end+`"}`, func() float64 { return float64(read(c.gate.Counts())) })
 	}
-	set.NewGauge("martenport_waiting", func() float64 { return float64(c.line.Waiting()) })
+	set.NewGauge("martenport_waiting", func() float64 { return float64(c.queue.Len()) })
 	set.NewGauge("martenport_generation", func() float64 { return float64(c.tables.Config.Index().Generation) })
 	set.NewGauge("martenport_instances_alive", func() float64 { return float64(len(c.tables.Members.Alive())) })
 	set.NewGauge("martenport_engines_ordered", func() float64 { return float64(len(c.orders.Ordered())) })
--- a/daemon/overload_test.go
+++ b/daemon/overload_test.go
@@ -42,7 +42,7 @@
 		params := routing.DefaultParams()
 		params.StartWindow = 0
 		n.dispatcher = dispatch.New(dispatch.DefaultParams(), n.tables, n.events, routing.NewBalancer(params),
-			admission.NewLine(admission.LineParams{MaxWaiting: 1 << 20}), n.waker, func(e declaration.Engine) backend.Engine { return f.engines[e.Name] })
+			admission.NewQueue(admission.QueueParams{MaxWaiting: 1 << 20}), n.waker, func(e declaration.Engine) backend.Engine { return f.engines[e.Name] })
 	}
 	n.gate = admission.NewGate(admission.Params{MaxRequests: 1 << 20, MaxPerModel: 1 << 20, MaxPerCaller: 1 << 20, RetryAfter: time.Second})
 	if _, err := n.generate("caption", "warm", time.Minute); err != nil {
