--- a/command/dispatch/acquire.go
+++ b/command/dispatch/acquire.go
@@ -69,7 +69,7 @@
 		domain := d.tables.Members.Self().FailureDomain
 		chosen, ok := d.balancer.Choose(candidates, domain, req.Session, time.Now())
 		if ok {
-			found = reservation{chosen, d.balancer.Sent(chosen.Engine)}
+			found = reservation{chosen, d.balancer.StartRequest(chosen.Engine)}
 		}
 		return ok
 	})
@@ -81,7 +81,7 @@
 func (d *Dispatcher) minServiceTime(units []backend.Unit, refused map[string]bool, tokens int) time.Duration {
 	var best time.Duration
 	for i, r := range d.candidates(units, refused) {
-		if s := d.balancer.Service(r.Engine, tokens); i == 0 || s < best {
+		if s := d.balancer.ServiceTime(r.Engine, tokens); i == 0 || s < best {
 			best = s
 		}
 	}
--- a/command/dispatch/call.go
+++ b/command/dispatch/call.go
@@ -98,7 +98,7 @@
 	d := c.dispatcher
 	call := backend.Call{ID: uuid.NewString(), Method: req.Method, Body: req.Body}
 	d.events.Record(event.Event{Kind: event.KindAttempt, Request: req.ID, Engine: server.Name, Detail: "attempt=" + call.ID})
-	done := d.balancer.Sent(server.Name)
+	done := d.balancer.StartRequest(server.Name)
 	body, err := c.dial(server.Address).Call(ctx, call)
 	done(isServerFault(err))
 	if err != nil {
--- a/command/dispatch/timedsink.go
+++ b/command/dispatch/timedsink.go
@@ -28,12 +28,12 @@
 	s.tokens++
 	if s.first.IsZero() {
 		s.first = time.Now()
-		s.balancer.FirstToken(s.server, s.prompt, s.first.Sub(s.start))
+		s.balancer.ObserveFirstToken(s.server, s.prompt, s.first.Sub(s.start))
 	}
 	return s.Sink.Token(t)
 }
 
 // finish reports the token rate of a complete answer to the balancer.
 func (s *timedSink) finish() {
-	s.balancer.Finished(s.server, s.tokens, time.Since(s.first))
+	s.balancer.ObserveAnswer(s.server, s.tokens, time.Since(s.first))
 }
--- a/command/routing/balancer.go
+++ b/command/routing/balancer.go
@@ -1,5 +1,5 @@
-// Package routing chooses among replicas. It is pure but for the balancer's
-// own account of what it sent where.
+// Package routing selects a replica for each request, from reported load and from
+// the balancer's own record of its requests. It performs no I/O.
 package routing
 
 import (
@@ -11,79 +11,83 @@
 	"github.com/martenport/martenport/table"
 )
 
-// Params set how replicas are compared.
+// Params configures a Balancer.
 type Params struct {
-	// AffinitySlack is how many requests more the replica of a session may
-	// have than the least loaded one and still be taken.
+	// AffinitySlack is the number of requests by which the load of a session's
+	// replica may exceed that of the best alternative before the session is sent
+	// there instead.
 	AffinitySlack float64
-	// FarPenalty is how many requests a replica in another failure domain
-	// must have less to be taken.
-	FarPenalty float64
-	// EjectAfter failures in a row take a replica out for EjectFor, doubling
-	// up to MaxEject.
+	// CrossDomainPenalty is the number of requests added to the load of a replica
+	// in another failure domain.
+	CrossDomainPenalty float64
+	// EjectAfter consecutive failures eject a replica for EjectFor. Each further
+	// failure doubles the time, up to MaxEject.
 	EjectAfter         int
 	EjectFor, MaxEject time.Duration
-	// StartWindow is how many requests an instance sends to a replica before
-	// first tokens tell more; 0 sends without limit.
-	StartWindow float64
-	// QueueDelay is how much later than at best the first token may come
-	// before it counts as waiting in the engine.
+	// InitialWindow is the number of concurrent requests that an instance may
+	// have on a replica before the window is adjusted; 0 disables the limit.
+	InitialWindow float64
+	// QueueDelay is the delay of a first token, beyond the smallest observed one,
+	// above which the request is assumed to have been queued in the engine.
 	QueueDelay time.Duration
 }
 
-// DefaultParams returns the comparison used unless set otherwise.
+// DefaultParams returns the default parameters.
 func DefaultParams() Params {
-	return Params{AffinitySlack: 4, FarPenalty: 4, EjectAfter: 3, EjectFor: time.Second, MaxEject: 30 * time.Second, StartWindow: 8, QueueDelay: 50 * time.Millisecond}
+	return Params{AffinitySlack: 4, CrossDomainPenalty: 4, EjectAfter: 3, EjectFor: time.Second, MaxEject: 30 * time.Second, InitialWindow: 8, QueueDelay: 50 * time.Millisecond}
 }
 
-// health is what the balancer knows of one backend server by its own requests.
-type health struct {
-	inFlight int
-	failures int
-	until    time.Time
-	window   window
-	service  service
+// serverStats is the record of one backend server, from this instance's own
+// requests only.
+type serverStats struct {
+	inFlight     int       // requests in progress
+	failures     int       // consecutive failures
+	ejectedUntil time.Time // end of the ejection; zero if never ejected
+	window       window
+	serviceTimes serviceTimes
 }
 
-// Balancer chooses replicas for one instance.
+// Balancer selects replicas for the requests of one instance.
 type Balancer struct {
 	params Params
 
 	mu      sync.Mutex
-	servers map[string]*health // guarded by mu
+	servers map[string]*serverStats // guarded by mu; by server name
 }
 
-// NewBalancer returns a balancer that has sent nothing yet.
+// NewBalancer returns a Balancer without any recorded requests.
 func NewBalancer(p Params) *Balancer {
-	return &Balancer{params: p, servers: map[string]*health{}}
+	return &Balancer{params: p, servers: map[string]*serverStats{}}
 }
 
-// Choose returns the replica for a request, false when there is none with room.
-// Sessions stay with one replica while it is not much busier than the others,
-// so that its prefix cache is of use.
+// Choose returns the replica for a request, or false if none has capacity. domain
+// is the instance's failure domain. The requests of one session go to the same
+// replica, to use its prefix cache, unless its load exceeds that of the best
+// alternative by more than AffinitySlack.
 func (b *Balancer) Choose(replicas []table.EngineView, domain, session string, now time.Time) (table.EngineView, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	usable := b.withRoom(b.usable(replicas, now))
+	usable := b.withCapacity(b.notEjected(replicas, now))
 	if len(usable) == 0 {
 		return table.EngineView{}, false
 	}
-	best := b.least(usable, domain)
+	best := b.betterOfTwo(usable, domain)
 	if session == "" {
 		return best, true
 	}
-	home := b.home(usable, session)
+	home := b.sessionReplica(usable, session)
 	if b.score(home, domain) <= b.score(best, domain)+b.params.AffinitySlack {
 		return home, true
 	}
 	return best, true
 }
 
-// usable leaves out ejected replicas, unless all are. It needs mu.
-func (b *Balancer) usable(replicas []table.EngineView, now time.Time) []table.EngineView {
+// notEjected returns the replicas that are not ejected, or all of them if every
+// one is ejected. b.mu must be held.
+func (b *Balancer) notEjected(replicas []table.EngineView, now time.Time) []table.EngineView {
 	var out []table.EngineView
 	for _, r := range replicas {
-		if !b.server(r.Engine).until.After(now) {
+		if !b.server(r.Engine).ejectedUntil.After(now) {
 			out = append(out, r)
 		}
 	}
@@ -93,9 +97,9 @@
 	return out
 }
 
-// withRoom leaves out replicas whose window is full. It needs mu.
-func (b *Balancer) withRoom(replicas []table.EngineView) []table.EngineView {
-	if b.params.StartWindow == 0 {
+// withCapacity returns the replicas whose window is not full. b.mu must be held.
+func (b *Balancer) withCapacity(replicas []table.EngineView) []table.EngineView {
+	if b.params.InitialWindow == 0 {
 		return replicas
 	}
 	var out []table.EngineView
@@ -107,9 +111,10 @@
 	return out
 }
 
-// least returns the better of two taken at random, so that instances with the
-// same old reports do not all choose the same. It needs mu.
-func (b *Balancer) least(replicas []table.EngineView, domain string) table.EngineView {
+// betterOfTwo returns the replica with the lower score of two random ones. The
+// random choice keeps instances that share the same stale load reports from all
+// selecting the same replica. b.mu must be held.
+func (b *Balancer) betterOfTwo(replicas []table.EngineView, domain string) table.EngineView {
 	first := rand.IntN(len(replicas))
 	if len(replicas) == 1 {
 		return replicas[first]
@@ -124,7 +129,8 @@
 	return replicas[first]
 }
 
-func (b *Balancer) home(replicas []table.EngineView, session string) table.EngineView {
+// sessionReplica returns the replica that the session is hashed to.
+func (b *Balancer) sessionReplica(replicas []table.EngineView, session string) table.EngineView {
 	names := make([]string, len(replicas))
 	for i, r := range replicas {
 		names[i] = r.Engine
@@ -138,37 +144,41 @@
 	return replicas[0]
 }
 
-// score is the work ahead of a new request on the replica, in requests. It
-// needs mu.
+// score returns the load of a replica in requests, including the penalty for
+// another failure domain; lower is better. b.mu must be held.
 func (b *Balancer) score(r table.EngineView, domain string) float64 {
 	s := b.server(r.Engine)
 	score := float64(max(r.Load.Queue+r.Load.Running, s.inFlight))
 	if r.FailureDomain != domain {
-		score += b.params.FarPenalty
+		score += b.params.CrossDomainPenalty
 	}
 	return score
 }
 
-// server needs mu.
-func (b *Balancer) server(name string) *health {
+// server returns the record of the named server and creates it if needed. b.mu
+// must be held.
+func (b *Balancer) server(name string) *serverStats {
 	s, found := b.servers[name]
 	if !found {
-		s = &health{window: window{size: b.params.StartWindow, slowStart: true}}
+		s = &serverStats{window: window{size: b.params.InitialWindow, slowStart: true}}
 		b.servers[name] = s
 	}
 	return s
 }
 
-// Sent notes a request sent to the server; call the returned function with its
-// outcome. failed means that the server, not the request, was at fault.
-func (b *Balancer) Sent(server string) func(failed bool) {
+// StartRequest records a request in progress on the server. The caller must call
+// the returned function once when it has ended; failed means that the server, not
+// the request, was at fault.
+func (b *Balancer) StartRequest(server string) func(failed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.server(server).inFlight++
-	return func(failed bool) { b.done(server, failed) }
+	return func(failed bool) { b.endRequest(server, failed) }
 }
 
-func (b *Balancer) done(name string, failed bool) {
+// endRequest records the end of a request and ejects the server after EjectAfter
+// consecutive failures.
+func (b *Balancer) endRequest(name string, failed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.server(name)
@@ -180,9 +190,9 @@
 	s.failures++
 	if over := s.failures - b.params.EjectAfter; over >= 0 {
 		pause := min(b.params.EjectFor<<min(over, maxEjectShift), b.params.MaxEject)
-		s.until = time.Now().Add(pause)
+		s.ejectedUntil = time.Now().Add(pause)
 	}
 }
 
-// maxEjectShift keeps the doubling of ejections from overflowing.
+// maxEjectShift limits the doubling of EjectFor, to avoid an integer overflow.
 const maxEjectShift = 16
--- a/command/routing/routing_test.go
+++ b/command/routing/routing_test.go
@@ -16,19 +16,21 @@
 	"github.com/martenport/martenport/table"
 )
 
-// The fleet of the comparison: engines of 8 requests of 20 tokens of 5 ms, one
-// of them at half speed, behind instances that see reports 1 s old.
+// The fleet used to compare routing policies: engines that run 8 requests of 20
+// tokens at 5 ms per token, one of them at half speed, and instances that see load
+// reports up to 1 s old.
 const (
-	routeTokens   = 20
-	routeBatch    = 8
-	routeStep     = 5 * time.Millisecond
-	routeLoad     = 0.7 // of the capacity
-	routeSpan     = 10 * time.Second
-	reportAge     = time.Second
-	enginesPerBox = 3 // engines for each two instances
+	routeTokens            = 20                   // tokens per request
+	routeBatch             = 8                    // requests that an engine runs concurrently
+	routeStep              = 5 * time.Millisecond // per token
+	routeLoad              = 0.7                  // offered load as a fraction of the capacity
+	routeSpan              = 10 * time.Second     // duration of the offered load
+	reportAge              = time.Second          // interval between load reports
+	enginesPerTwoInstances = 3                    // number of engines per two instances
 )
 
-// router chooses a replica and is told what became of the request.
+// router is a routing policy: it selects replicas and is notified of the progress
+// of each request.
 type router interface {
 	choose(views []table.EngineView) int
 	sent(engine string) func()
@@ -36,7 +38,7 @@
 	finished(engine string, d time.Duration)
 }
 
-// roundRobin takes replicas in turn.
+// roundRobin selects replicas in turn.
 type roundRobin struct{ next atomic.Int64 }
 
 func (r *roundRobin) choose(views []table.EngineView) int {
@@ -46,7 +48,7 @@
 func (*roundRobin) first(string, time.Duration)    {}
 func (*roundRobin) finished(string, time.Duration) {}
 
-// twoChoices takes the less loaded of two by the reports.
+// twoChoices selects the less loaded of two random replicas by their reports.
 type twoChoices struct{ roundRobin }
 
 func (*twoChoices) choose(views []table.EngineView) int {
@@ -57,33 +59,36 @@
 	return a
 }
 
-// balanced is the balancer.
-type balanced struct{ *Balancer }
+// balancerRouter is the Balancer as a router.
+type balancerRouter struct{ *Balancer }
 
-func (b balanced) choose(views []table.EngineView) int {
+func (b balancerRouter) choose(views []table.EngineView) int {
 	chosen, found := b.Choose(views, "a", "", time.Now())
 	if !found {
 		return -1
 	}
 	return slices.IndexFunc(views, func(v table.EngineView) bool { return v.Engine == chosen.Engine })
 }
-func (b balanced) sent(engine string) func() {
-	done := b.Sent(engine)
+func (b balancerRouter) sent(engine string) func() {
+	done := b.StartRequest(engine)
 	return func() { done(false) }
 }
-func (b balanced) first(engine string, d time.Duration)    { b.FirstToken(engine, 1, d) }
-func (b balanced) finished(engine string, d time.Duration) { b.Finished(engine, routeTokens, d) }
+func (b balancerRouter) first(engine string, d time.Duration) { b.ObserveFirstToken(engine, 1, d) }
+func (b balancerRouter) finished(engine string, d time.Duration) {
+	b.ObserveAnswer(engine, routeTokens, d)
+}
 
-// routeFleet is the engines and their reports.
+// routeFleet holds the engines and their latest load reports.
 type routeFleet struct {
-	engines []*standin.Engine
-	mu      sync.Mutex
-	views   []table.EngineView // guarded by mu
-	tooks   []time.Duration    // guarded by mu
+	engines   []*standin.Engine
+	mu        sync.Mutex
+	views     []table.EngineView // guarded by mu
+	latencies []time.Duration    // guarded by mu; of finished requests
 }
 
-// p99 runs the comparison's load through routers, one an instance.
-func p99(t *testing.T, engines int, newRouter func() router) time.Duration {
+// measureP99 runs the load through one router per instance and returns the 99th
+// percentile of the request latency.
+func measureP99(t *testing.T, engines int, newRouter func() router) time.Duration {
 	f := &routeFleet{}
 	unit := backend.Unit{Model: "m", Version: "1"}
 	for i := range engines {
@@ -100,9 +105,9 @@
 	f.engines[0].SetSlowdown(2)
 	time.Sleep(time.Second)
 	stop := make(chan struct{})
-	go f.reportEvery(stop)
+	go f.runReports(stop)
 	capacity := float64(engines) * routeBatch / (routeTokens * routeStep.Seconds())
-	instances := engines * 2 / enginesPerBox
+	instances := engines * 2 / enginesPerTwoInstances
 	var all sync.WaitGroup
 	for n := range instances {
 		r, rng := newRouter(), rand.New(rand.NewPCG(uint64(n), 5))
@@ -119,11 +124,12 @@
 		e.Restart()
 	}
 	time.Sleep(10 * time.Second)
-	slices.Sort(f.tooks)
-	return f.tooks[len(f.tooks)*99/100]
+	slices.Sort(f.latencies)
+	return f.latencies[len(f.latencies)*99/100]
 }
 
-func (f *routeFleet) reportEvery(stop chan struct{}) {
+// runReports refreshes the load reports every reportAge until stop is closed.
+func (f *routeFleet) runReports(stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -139,6 +145,7 @@
 	}
 }
 
+// request runs one request and records its latency.
 func (f *routeFleet) request(t *testing.T, r router, unit backend.Unit) {
 	start := time.Now()
 	i := -1
@@ -177,17 +184,17 @@
 	done()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.tooks = append(f.tooks, time.Since(start))
+	f.latencies = append(f.latencies, time.Since(start))
 }
 
-// maxRouteRatio bounds the p99 against round-robin's.
+// maxRouteRatio is the maximum ratio of the Balancer's p99 to that of round-robin.
 const maxRouteRatio = 0.55
 
-// compare returns the p99 of each way.
+// compare returns the p99 latency under each routing policy.
 func compare(t *testing.T, engines int) (ours, two, robin time.Duration) {
-	ours = p99(t, engines, func() router { return balanced{NewBalancer(DefaultParams())} })
-	two = p99(t, engines, func() router { return &twoChoices{} })
-	robin = p99(t, engines, func() router {
+	ours = measureP99(t, engines, func() router { return balancerRouter{NewBalancer(DefaultParams())} })
+	two = measureP99(t, engines, func() router { return &twoChoices{} })
+	robin = measureP99(t, engines, func() router {
 		r := &roundRobin{}
 		r.next.Store(rand.Int64N(int64(engines)))
 		return r
@@ -195,19 +202,20 @@
 	return ours, two, robin
 }
 
-// TestHalfSpeedEngine: with one engine at half speed and old reports, the p99
-// is well below round-robin's.
+// TestHalfSpeedEngine guards against a slow engine dominating the tail latency:
+// with one engine at half speed and stale load reports, the p99 must be well below
+// that of round-robin.
 func TestHalfSpeedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ours, two, robin := compare(t, 9)
 		t.Logf("p99 ours=%v two-choices=%v round-robin=%v", ours, two, robin)
 		if float64(ours) > maxRouteRatio*float64(robin) {
-			t.Errorf("p99 %v, round-robin %v", ours, robin)
+			t.Errorf("p99 %v, too close to that of round-robin, %v", ours, robin)
 		}
 	})
 }
 
-// BenchmarkRouting compares at 9 and 36 engines.
+// BenchmarkRouting compares the routing policies at 9 and 36 engines.
 func BenchmarkRouting(b *testing.B) {
 	for _, engines := range []int{9, 36} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/command/routing/window.go
+++ b/command/routing/window.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// window is how many requests an instance may have on a replica at once. It
-// grows while first tokens come promptly and shrinks when they come late, as
-// TCP does with its segments: reports of load lag by more than a request
-// lasts, first tokens do not. All instances that use a replica so share it
-// without talking.
+// window limits the concurrent requests of an instance on a replica. Like a TCP
+// congestion window, it grows while first tokens arrive promptly and shrinks when
+// they are late. First tokens are used because load reports lag by more than the
+// duration of a request. The instances that use a replica thereby share its
+// capacity without communicating.
 type window struct {
-	size      float64
-	slowStart bool
-	shrunkAt  time.Time
-	// best is the earliest first token seen, by the size of the prompt: long
-	// prompts take longer without any wait.
-	best [promptSizes]time.Duration
+	size      float64   // maximum number of concurrent requests
+	slowStart bool      // set until size is reduced for the first time
+	shrunkAt  time.Time // time of the last reduction
+	// minDelay is the smallest delay of a first token, by the bit length of the prompt
+	// size: longer prompts take longer even without queueing.
+	minDelay [promptSizes]time.Duration
 }
 
-// The steps of the window.
+// Parameters of the window's adjustment.
 const (
-	shrinkTo    = 0.8 // times
-	minWindow   = 1.0
-	promptSizes = 32
-	// bestRise makes the earliest first token forget by a hundredth with each
-	// observation, since engines become slower too.
-	bestRise = 100
+	shrinkFactor = 0.8 // factor applied to size after a late first token
+	minWindow    = 1.0
+	promptSizes  = 32 // number of prompt size classes
+	// minDelayRise raises the smallest observed delay by 1/100 with each later
+	// observation, so that it adapts when an engine becomes slower.
+	minDelayRise = 100
 )
 
-// firstToken takes in that a first token came after d. full says that the
-// window was in use to the last place.
-func (w *window) firstToken(promptBytes int, d, queueDelay time.Duration, full bool, now time.Time) {
-	best := &w.best[bits.Len(uint(promptBytes))%promptSizes]
+// observeFirstToken adjusts the window after a first token with delay d. full
+// means that the window was fully used; otherwise it does not grow.
+func (w *window) observeFirstToken(promptBytes int, d, queueDelay time.Duration, full bool, now time.Time) {
+	best := &w.minDelay[bits.Len(uint(promptBytes))%promptSizes]
 	if *best == 0 || d < *best {
 		*best = d
 	} else {
-		*best += *best / bestRise
+		*best += *best / minDelayRise
 	}
 	switch late := d > *best+queueDelay; {
 	case late && now.Sub(w.shrunkAt) > d:
-		w.size = max(minWindow, w.size*shrinkTo)
+		w.size = max(minWindow, w.size*shrinkFactor)
 		w.slowStart = false
 		w.shrunkAt = now
 	case late || !full:
@@ -51,16 +51,17 @@
 	}
 }
 
-// service is the observed time of requests on a replica.
-type service struct {
-	// pace is the smoothed time of a token, first the smoothed time to the
-	// first one; both 0 before the first answer.
-	pace, first float64
+// serviceTimes are the smoothed timings of requests on a replica.
+type serviceTimes struct {
+	// timePerToken is the time per token and timeToFirst the time to the first token,
+	// both in seconds and 0 before the first observation.
+	timePerToken, timeToFirst float64
 }
 
-// serviceWeight is the part of a new observation in the smoothed figures.
+// serviceWeight is the weight of a new observation in the smoothed values.
 const serviceWeight = 0.1
 
+// smooth updates *old with an observation by exponential smoothing.
 func smooth(old *float64, seen float64) {
 	if *old == 0 {
 		*old = seen
@@ -69,31 +70,32 @@
 	*old += serviceWeight * (seen - *old)
 }
 
-// FirstToken notes that a request's first token came after d.
-func (b *Balancer) FirstToken(server string, promptBytes int, d time.Duration) {
+// ObserveFirstToken records the delay d of a request's first token.
+func (b *Balancer) ObserveFirstToken(server string, promptBytes int, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.server(server)
 	full := float64(s.inFlight) >= s.window.size-1
-	s.window.firstToken(promptBytes, d, b.params.QueueDelay, full, time.Now())
-	smooth(&s.service.first, d.Seconds())
+	s.window.observeFirstToken(promptBytes, d, b.params.QueueDelay, full, time.Now())
+	smooth(&s.serviceTimes.timeToFirst, d.Seconds())
 }
 
-// Finished notes that a request's tokens after the first took d together.
-func (b *Balancer) Finished(server string, tokens int, d time.Duration) {
+// ObserveAnswer records a complete answer of the given number of tokens; d is the
+// time from its first token to its last. Answers of one token are ignored.
+func (b *Balancer) ObserveAnswer(server string, tokens int, d time.Duration) {
 	if tokens < 2 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	smooth(&b.server(server).service.pace, d.Seconds()/float64(tokens-1))
+	smooth(&b.server(server).serviceTimes.timePerToken, d.Seconds()/float64(tokens-1))
 }
 
-// Service returns the observed time of a request of so many tokens on the
-// server, 0 when there is no observation.
-func (b *Balancer) Service(server string, tokens int) time.Duration {
+// ServiceTime returns the expected duration of a request of the given number of
+// tokens on the server, 0 if nothing has been observed.
+func (b *Balancer) ServiceTime(server string, tokens int) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.server(server).service
-	return time.Duration((s.first + s.pace*float64(tokens)) * float64(time.Second))
+	s := b.server(server).serviceTimes
+	return time.Duration((s.timeToFirst + s.timePerToken*float64(tokens)) * float64(time.Second))
 }
--- a/daemon/overload_test.go
+++ b/daemon/overload_test.go
@@ -40,7 +40,7 @@
 	n := f.nodes[0]
 	if !limits {
 		params := routing.DefaultParams()
-		params.StartWindow = 0
+		params.InitialWindow = 0
 		n.dispatcher = dispatch.New(dispatch.DefaultParams(), n.tables, n.events, routing.NewBalancer(params),
 			admission.NewQueue(admission.QueueParams{MaxWaiting: 1 << 20}), n.waker, func(e declaration.Engine) backend.Engine { return f.engines[e.Name] })
 	}
