--- a/command/runonce/runonce.go
+++ b/command/runonce/runonce.go
@@ -1,11 +1,12 @@
-// Package runonce lets a non-idempotent request with a key run at most once,
-// whichever instances and failure domains its key is sent to and whenever.
+// Package runonce ensures that a non-idempotent request with an idempotency key
+// runs at most once, whichever instances and failure domains receive the key and
+// at whatever time.
 //
-// Before such a request may start, an object with its key is created in the
-// platform. Creation succeeds once for all instances, so the one that created
-// it alone may start the request, without a clock, a lease or a view of the
-// other instances coming into it. Where the platform cannot be reached the
-// request is refused with a true NotRun. docs/DESIGN.md weighs the other ways.
+// Before such a request may start, an instance creates an object for its key in
+// the store. The creation succeeds for exactly one instance, and only that one may
+// start the request; safety depends on no clock, lease or membership view. If the
+// store cannot be reached, the request is refused with verdict NotRun.
+// docs/DESIGN.md compares the alternatives.
 package runonce
 
 import (
@@ -23,79 +24,87 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// Record is the platform object of one key.
+// Record is the stored object of one key.
 type Record struct {
-	// Instance created the record and alone may start the request.
+	// Instance is the instance that created the record; only it may start the request.
 	Instance string `json:"instance"`
-	// Nonce tells this creation from all others.
+	// Nonce is unique to this creation of the record.
 	Nonce string `json:"nonce"`
 	// Fingerprint is a hash of the request's content.
 	Fingerprint string `json:"fingerprint"`
-	// CreatedMS is the wall time, for removal after the retention time only.
+	// CreatedMS is the wall clock time of creation in Unix milliseconds. It is used
+	// only to remove the record after the retention time.
 	CreatedMS int64 `json:"created_ms"`
 }
 
-// Params bound what is kept.
+// Params configures a Registry.
 type Params struct {
-	// Retention is how long a key is remembered.
+	// Retention is how long the record of a key is kept.
 	Retention time.Duration
-	// MaxHeld bounds the answers held in memory for repeated keys.
+	// MaxHeld is the maximum number of finished runs whose answers are kept in
+	// memory for repeated keys.
 	MaxHeld int
 }
 
-// Peers asks the instance that recorded a key for its answer.
+// Peers requests answers from other instances.
 type Peers interface {
+	// Answer returns the answer of the key's run from the instance that recorded
+	// the key. The error is a *verdict.Failure.
 	Answer(ctx context.Context, instance, key string) ([]byte, error)
 }
 
-// Registry is the account of keys of one instance.
+// Registry tracks the keys and runs of one instance.
 type Registry struct {
 	params   Params
 	instance string
 	store    store.Store
 	peers    Peers
 
-	mu   sync.Mutex
-	runs map[string]*Run // guarded by mu; by hashed key
-	done []string        // guarded by mu; hashed keys of finished runs, oldest first
+	mu           sync.Mutex
+	runs         map[string]*Run // guarded by mu; by hashed key
+	finishedKeys []string        // guarded by mu; hashed keys of finished runs, oldest first
 }
 
-// NewRegistry returns an empty registry of the named instance.
+// NewRegistry returns an empty Registry for the named instance.
 func NewRegistry(p Params, instance string, store store.Store, peers Peers) *Registry {
 	return &Registry{params: p, instance: instance, store: store, peers: peers, runs: map[string]*Run{}}
 }
 
-// Run is one key's one run.
+// Run is the single run of the request with a key.
 type Run struct {
 	registry    *Registry
 	key         string
 	fingerprint string
 	finished    chan struct{}
-	// version of the platform object; 0 when it could not be created for sure.
+	// version is the version of the stored object; 0 if its creation is not confirmed.
 	version store.Revision
 
 	answer []byte // set before finished is closed
 	err    error  // set before finished is closed
 }
 
-// Key returns the name under which a caller's key is kept: callers cannot
-// guess or fill each other's, whatever bytes are in it.
+// Key returns the name under which a caller's key is stored. It is a hash over the
+// caller and the key, so that callers cannot guess or claim each other's keys and
+// keys may contain any bytes.
 func Key(caller, key string) string {
 	sum := sha256.Sum256([]byte(caller + "\x00" + key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Fingerprint returns the hash by which a request's content is recognised.
+// Fingerprint returns a hash of a request's content, used to detect that a key is
+// reused with different content.
 func Fingerprint(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
-// Begin returns a Run that may be started, or the answer that the key's run
-// gave, or a failure with the verdict that is true of the key.
+// Begin claims the key. It returns a Run if the caller may start the request, the
+// answer if the key's run has already finished, or a *verdict.Failure whose verdict
+// says whether the key's request may have run. The caller must finish a returned
+// Run with Finish.
 func (r *Registry) Begin(ctx context.Context, key, fingerprint string) (*Run, []byte, error) {
-	run, mine := r.enter(key, fingerprint)
-	if !mine {
+	run, created := r.register(key, fingerprint)
+	if !created {
 		return r.replay(ctx, run, fingerprint)
 	}
 	err := run.create(ctx)
@@ -105,13 +114,14 @@
 	run.finish(nil, err)
 	r.forget(run)
 	if errors.Is(err, store.ErrConflict) {
-		return r.elsewhere(ctx, key, fingerprint)
+		return r.answerElsewhere(ctx, key, fingerprint)
 	}
 	return nil, nil, verdict.Refuse(verdict.ReasonPlatform, "the key cannot be recorded: %v", err).After(time.Second)
 }
 
-// enter notes the key here, so that a second send waits for the first.
-func (r *Registry) enter(key, fingerprint string) (*Run, bool) {
+// register returns the run of the key at this instance and whether it was created
+// by this call. A repeated request waits for the run of the first.
+func (r *Registry) register(key, fingerprint string) (*Run, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if run, found := r.runs[key]; found {
@@ -122,6 +132,7 @@
 	return run, true
 }
 
+// forget removes the run from this instance.
 func (r *Registry) forget(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,6 +141,7 @@
 	}
 }
 
+// replay waits for a run at this instance and returns its answer.
 func (r *Registry) replay(ctx context.Context, run *Run, fingerprint string) (*Run, []byte, error) {
 	if run.fingerprint != fingerprint {
 		return nil, nil, verdict.Refuse(verdict.ReasonKeyReused, "the key was used with other content")
@@ -138,6 +150,7 @@
 	return nil, answer, err
 }
 
+// wait blocks until the run has finished or ctx ends.
 func (run *Run) wait(ctx context.Context) ([]byte, error) {
 	select {
 	case <-run.finished:
@@ -147,7 +160,8 @@
 	}
 }
 
-// create records the key. A lost answer is resolved by store.Write.
+// create creates the key's record. store.Write resolves the case that the answer
+// to the write is lost.
 func (run *Run) create(ctx context.Context) error {
 	r := run.registry
 	value, err := json.Marshal(Record{
@@ -162,8 +176,9 @@
 	return err
 }
 
-// elsewhere answers a key that another instance recorded.
-func (r *Registry) elsewhere(ctx context.Context, key, fingerprint string) (*Run, []byte, error) {
+// answerElsewhere returns the answer for a key whose record already existed. It
+// asks the instance that created the record.
+func (r *Registry) answerElsewhere(ctx context.Context, key, fingerprint string) (*Run, []byte, error) {
 	record, version, err := store.Read[Record](ctx, r.store, store.PrefixRuns+key)
 	if err != nil || version == 0 {
 		return nil, nil, verdict.New(verdict.MayHaveRun, verdict.ReasonKeyTaken, "the key is recorded, its record cannot be read")
@@ -182,7 +197,8 @@
 	return nil, answer, nil
 }
 
-// Answer returns the answer of a run recorded here, for another instance.
+// Answer waits for the run of a key recorded by this instance and returns its
+// answer. It serves requests from other instances.
 func (r *Registry) Answer(ctx context.Context, key string) ([]byte, error) {
 	r.mu.Lock()
 	run, found := r.runs[key]
@@ -193,8 +209,8 @@
 	return run.wait(ctx)
 }
 
-// Finish records how the run ended. A run that did not start frees its key, so
-// that the caller can send it again.
+// Finish records the outcome of the run. If the verdict of err is NotRun, the key
+// is released so that the caller can retry with it.
 func (run *Run) Finish(ctx context.Context, answer []byte, err error) {
 	run.finish(answer, err)
 	if err != nil && verdict.Of(err).Verdict == verdict.NotRun {
@@ -204,13 +220,14 @@
 	run.registry.hold(run)
 }
 
+// finish sets the outcome and wakes all callers of wait.
 func (run *Run) finish(answer []byte, err error) {
 	run.answer, run.err = answer, err
 	close(run.finished)
 }
 
-// release removes the record first and the note here after, so that no second
-// send can start in between. Where the platform fails the key stays taken.
+// release deletes the stored record before the entry at this instance, so that a
+// repeated request cannot start in between. If the store fails, the key stays taken.
 func (run *Run) release(ctx context.Context) {
 	ctx = context.WithoutCancel(ctx)
 	if run.registry.store.Delete(ctx, store.PrefixRuns+run.key, run.version) == nil {
@@ -220,13 +237,14 @@
 	run.registry.hold(run)
 }
 
-// hold keeps the finished run for repeated sends, the newest MaxHeld of them.
+// hold keeps the finished run to answer repeated requests. Only the newest MaxHeld
+// finished runs are kept.
 func (r *Registry) hold(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.done = append(r.done, run.key)
-	for len(r.done) > r.params.MaxHeld {
-		delete(r.runs, r.done[0])
-		r.done = r.done[1:]
+	r.finishedKeys = append(r.finishedKeys, run.key)
+	for len(r.finishedKeys) > r.params.MaxHeld {
+		delete(r.runs, r.finishedKeys[0])
+		r.finishedKeys = r.finishedKeys[1:]
 	}
 }
--- a/command/runonce/runonce_test.go
+++ b/command/runonce/runonce_test.go
@@ -16,27 +16,29 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// flaky is the platform with answers that come late or never, and outages.
-type flaky struct {
+// unreliableStore is a store whose writes fail, are applied late, or are applied although
+// the answer is lost.
+type unreliableStore struct {
 	*standin.Platform
 	mu  sync.Mutex
 	rng *rand.Rand // guarded by mu
 }
 
-func (f *flaky) roll(n int) int {
+// roll returns a random number below n.
+func (f *unreliableStore) roll(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rng.IntN(n)
 }
 
-func (f *flaky) Put(ctx context.Context, key string, value []byte, version store.Revision) (store.Object, error) {
+func (f *unreliableStore) Put(ctx context.Context, key string, value []byte, version store.Revision) (store.Object, error) {
 	switch f.roll(10) {
 	case 0:
 		return store.Object{}, store.ErrUnavailable
-	case 1: // carried out, answer lost
+	case 1: // applied, but the answer is lost
 		_, _ = f.Platform.Put(ctx, key, value, version)
 		return store.Object{}, store.ErrUnknown
-	case 2: // carried out long after
+	case 2: // applied up to 20 s after the error was returned
 		go func() {
 			time.Sleep(time.Duration(f.roll(20)) * time.Second)
 			_, _ = f.Platform.Put(context.Background(), key, value, version)
@@ -47,48 +49,49 @@
 	return f.Platform.Put(ctx, key, value, version)
 }
 
-// directory finds the registries of instances that are alive.
-type directory struct {
+// registryDirectory holds the current registry of each instance.
+type registryDirectory struct {
 	mu         sync.Mutex
 	registries map[string]*Registry // guarded by mu
 }
 
-func (d *directory) get(name string) *Registry {
+func (d *registryDirectory) get(name string) *Registry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.registries[name]
 }
 
-// replace starts the named instance anew: what it held is gone.
-func (d *directory) replace(name string, store store.Store) {
+// restart restarts the named instance with an empty registry.
+func (d *registryDirectory) restart(name string, store store.Store) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.registries[name] = NewRegistry(Params{Retention: time.Hour, MaxHeld: 100}, name, store, d)
 }
 
 // Answer implements Peers.
-func (d *directory) Answer(ctx context.Context, instance, key string) ([]byte, error) {
+func (d *registryDirectory) Answer(ctx context.Context, instance, key string) ([]byte, error) {
 	return d.get(instance).Answer(ctx, key)
 }
 
-// sent is the input of one operation in the history: a send of a key.
-type sent struct{ key, content string }
+// keyedRequest is the input of one operation in the history: a request with a key.
+type keyedRequest struct{ key, content string }
 
-// outcome is its output.
+// outcome is the output of one operation in the history.
 type outcome struct {
-	// ran: this send ran the request. answered: it brought an answer.
+	// ran is set if this operation ran the request, answered if it returned the
+	// answer of an earlier run.
 	ran, answered bool
-	notRun        bool
+	notRun        bool // the operation failed with verdict NotRun
 	answer        string
 }
 
-// model of a key: it runs at most once; an answer is that of the run; a send
-// that says NotRun did not run.
+// model is the specification of one key: its request runs at most once, an answer
+// is that of the run, and an operation with verdict NotRun did not run the request.
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
 		for _, op := range history {
-			key := op.Input.(sent).key
+			key := op.Input.(keyedRequest).key
 			byKey[key] = append(byKey[key], op)
 		}
 		var out [][]porcupine.Operation
@@ -104,26 +107,27 @@
 		case o.ran && o.notRun:
 			return false, state
 		case o.ran:
-			return run == "", input.(sent).content + "/" + o.answer
+			return run == "", input.(keyedRequest).content + "/" + o.answer
 		case o.answered:
-			return run == input.(sent).content+"/"+o.answer, state
+			return run == input.(keyedRequest).content+"/"+o.answer, state
 		default:
 			return true, state
 		}
 	},
 }
 
-// TestHistory: the same keys are sent to several instances at once, while the
-// platform loses answers and instances are replaced. Each key runs at most
-// once, and every answer is that of its one run.
+// TestHistory guards against running the request of a key twice. Clients send the
+// same keys to several instances concurrently, while the store loses answers and
+// instances restart. Each key must run at most once, and every answer must be that
+// of its run.
 func TestHistory(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			store := &flaky{Platform: standin.NewPlatform(), rng: rand.New(rand.NewPCG(seed, 2))}
-			d := &directory{registries: map[string]*Registry{}}
+			store := &unreliableStore{Platform: standin.NewPlatform(), rng: rand.New(rand.NewPCG(seed, 2))}
+			d := &registryDirectory{registries: map[string]*Registry{}}
 			names := []string{"a", "b", "c"}
 			for _, n := range names {
-				d.replace(n, store)
+				d.restart(n, store)
 			}
 			var (
 				mu      sync.Mutex
@@ -134,7 +138,7 @@
 			for client := range 6 {
 				all.Go(func() {
 					for range 20 {
-						in := sent{key: fmt.Sprintf("k%d", store.roll(8)), content: "c"}
+						in := keyedRequest{key: fmt.Sprintf("k%d", store.roll(8)), content: "c"}
 						name := names[store.roll(3)]
 						call := time.Now().UnixNano()
 						out := sendOnce(d.get(name), in, store.roll)
@@ -145,7 +149,7 @@
 						history = append(history, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: time.Now().UnixNano()})
 						mu.Unlock()
 						if store.roll(25) == 0 {
-							d.replace(name, store)
+							d.restart(name, store)
 						}
 						time.Sleep(time.Duration(store.roll(200)) * time.Millisecond)
 					}
@@ -153,18 +157,18 @@
 			}
 			all.Wait()
 			if !porcupine.CheckOperations(model, history) {
-				t.Errorf("seed %d: a key ran twice, or an answer is not that of its run", seed)
+				t.Errorf("seed %d: history not linearizable: a key ran twice, or an answer is not that of its run", seed)
 			}
 			if runs == 0 {
-				t.Errorf("seed %d: nothing ran", seed)
+				t.Errorf("seed %d: no request ran", seed)
 			}
 			time.Sleep(time.Minute)
 		})
 	}
 }
 
-// sendOnce is what an instance does with a keyed request.
-func sendOnce(r *Registry, in sent, roll func(int) int) outcome {
+// sendOnce handles one keyed request as an instance does.
+func sendOnce(r *Registry, in keyedRequest, roll func(int) int) outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	run, answer, err := r.Begin(ctx, in.key, in.content)
@@ -172,7 +176,7 @@
 		return outcome{answered: err == nil, answer: string(answer), notRun: err != nil && verdict.Of(err).Verdict == verdict.NotRun}
 	}
 	time.Sleep(time.Duration(roll(100)) * time.Millisecond)
-	if roll(6) == 0 { // found no replica: nothing ran
+	if roll(6) == 0 { // no replica available, the request does not run
 		run.Finish(ctx, nil, verdict.Refuse(verdict.ReasonNoReplica, "none"))
 		return outcome{notRun: true}
 	}
@@ -181,11 +185,14 @@
 	return outcome{ran: true, answer: text}
 }
 
+// TestKeyReused checks that a key is refused with other content and answered again
+// with the same content, at the instance that ran it and at another. After a restart
+// of the former, the answer is lost and the verdict must be MayHaveRun.
 func TestKeyReused(t *testing.T) {
-	d := &directory{registries: map[string]*Registry{}}
+	d := &registryDirectory{registries: map[string]*Registry{}}
 	store := standin.NewPlatform()
-	d.replace("a", store)
-	d.replace("b", store)
+	d.restart("a", store)
+	d.restart("b", store)
 	run, _, err := d.get("a").Begin(t.Context(), "k", "content")
 	if err != nil {
 		t.Fatal(err)
@@ -193,28 +200,31 @@
 	run.Finish(t.Context(), []byte("answer"), nil)
 	for _, name := range []string{"a", "b"} {
 		if _, _, err := d.get(name).Begin(t.Context(), "k", "other"); verdict.Of(err).Reason != verdict.ReasonKeyReused {
-			t.Errorf("at %s: %v, want key_reused", name, err)
+			t.Errorf("key with other content at %s: %v, want key_reused", name, err)
 		}
 		if _, answer, err := d.get(name).Begin(t.Context(), "k", "content"); err != nil || string(answer) != "answer" {
-			t.Errorf("at %s: %q %v, want the held answer", name, answer, err)
+			t.Errorf("repeated key at %s: answer %q, error %v, want the answer of the run", name, answer, err)
 		}
 	}
-	d.replace("a", store)
+	d.restart("a", store)
 	if _, _, err := d.get("b").Begin(t.Context(), "k", "content"); verdict.Of(err).Verdict != verdict.MayHaveRun {
-		t.Errorf("after the instance was replaced: %v, want MayHaveRun", err)
+		t.Errorf("repeated key after a restart of the recording instance: %v, want MayHaveRun", err)
 	}
 }
 
+// TestPlatformDown checks that a key is refused with NotRun and a retry delay if
+// the store cannot be reached.
 func TestPlatformDown(t *testing.T) {
 	store := standin.NewPlatform()
 	store.SetDown(true)
 	r := NewRegistry(Params{MaxHeld: 1}, "a", store, nil)
 	_, _, err := r.Begin(t.Context(), "k", "c")
 	if f := verdict.Of(err); f.Verdict != verdict.NotRun || f.Reason != verdict.ReasonPlatform || f.RetryAfter == 0 {
-		t.Errorf("%v, want a refusal with NotRun and when to come back", err)
+		t.Errorf("%v, want NotRun with ReasonPlatform and a retry delay", err)
 	}
 }
 
+// TestSweep checks that Sweep deletes records only after the retention time.
 func TestSweep(t *testing.T) {
 	store := standin.NewPlatform()
 	r := NewRegistry(Params{Retention: time.Hour, MaxHeld: 10}, "a", store, nil)
@@ -228,7 +238,7 @@
 		want  int
 	}{{time.Minute, 0}, {2 * time.Hour, 1}} {
 		if n, err := r.Sweep(t.Context(), time.Now().Add(at.after)); err != nil || n != at.want {
-			t.Errorf("after %v: removed %d, want %d: %v", at.after, n, at.want, err)
+			t.Errorf("sweep after %v: deleted %d records, want %d, error %v", at.after, n, at.want, err)
 		}
 	}
 }
--- a/command/runonce/sweep.go
+++ b/command/runonce/sweep.go
@@ -8,12 +8,13 @@
 	"github.com/martenport/martenport/store"
 )
 
-// sweepBatch bounds the deletions of one sweep, to leave the platform's write
-// rate to others.
+// sweepBatch limits the deletions per sweep, so that a sweep does not use up the
+// store's write rate.
 const sweepBatch = 200
 
-// Sweep removes records older than the retention time from the platform and
-// returns how many. One instance does it for all.
+// Sweep deletes stored records older than the retention time, at most sweepBatch
+// of them, and returns the number deleted. It is sufficient that one instance of
+// the fleet calls it.
 func (r *Registry) Sweep(ctx context.Context, now time.Time) (int, error) {
 	snap, err := r.store.List(ctx, store.PrefixRuns)
 	if err != nil {
