--- a/command/intent/intent.go
+++ b/command/intent/intent.go
@@ -1,6 +1,7 @@
-// Package intent is how operators change what is declared: a plan shows the
-// changes that a declaration implies against one generation, and confirming
-// it makes it the next generation, if that one is still current.
+// Package intent implements operators' changes to the declaration in two steps. A
+// plan lists the changes of a declaration relative to a base generation;
+// confirming the plan makes the declaration the next generation, provided that the
+// base generation is still current.
 package intent
 
 import (
@@ -21,14 +22,14 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// keptPlans is how many accepted plan ids the platform remembers, so that a
-// repeated confirm is recognised.
-const keptPlans = 64
+// maxKeptPlans is the number of accepted plan IDs kept in the store to recognise
+// repeated confirmations.
+const maxKeptPlans = 64
 
-// maxValueBytes is the platform's limit for the accepted declaration.
+// maxValueBytes is the store's size limit for the accepted declaration.
 const maxValueBytes = 1 << 20
 
-// Plan is what a declaration would change.
+// Plan describes the changes that a declaration would make.
 type Plan struct {
 	ID             string
 	BaseGeneration int64
@@ -36,7 +37,7 @@
 	Warnings       []string
 }
 
-// Intents plans and confirms.
+// Intents plans and confirms declarations.
 type Intents struct {
 	store  store.Store
 	config *table.Config
@@ -45,13 +46,14 @@
 	populated func(domain string) bool
 }
 
-// New returns the intents of one instance.
+// New returns the Intents of one instance. populated reports whether an instance
+// is known to be alive in a failure domain.
 func New(store store.Store, config *table.Config, populated func(domain string) bool) *Intents {
 	return &Intents{store: store, config: config, populated: populated}
 }
 
-// Plan validates source and compares it with the newest generation. It changes
-// nothing.
+// Plan validates source and compares it with the newest generation, or with the
+// one in force at this instance if the store cannot be read. It has no side effects.
 func (i *Intents) Plan(ctx context.Context, source []byte) (Plan, error) {
 	next, err := parse(source)
 	if err != nil {
@@ -74,6 +76,7 @@
 	}, nil
 }
 
+// parse parses and validates a declaration. The error is a *verdict.Failure.
 func parse(source []byte) (*declaration.Declaration, error) {
 	if len(source) > table.MaxSourceBytes {
 		return nil, verdict.Refuse(verdict.ReasonInvalid, "the declaration has %d bytes, more than %d", len(source), table.MaxSourceBytes)
@@ -85,7 +88,8 @@
 	return d, nil
 }
 
-// planID names a plan by its content: the same plan always has the same id.
+// planID returns the ID of a plan, a hash of its base generation and its source, so
+// that the same plan always has the same ID.
 func planID(base int64, source []byte) string {
 	h := sha256.New()
 	h.Write([]byte(strconv.FormatInt(base, 10) + "\x00"))
@@ -93,12 +97,13 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-// newest reads the accepted declaration from the platform.
+// newest reads the newest accepted declaration and its version from the store.
 func (i *Intents) newest(ctx context.Context) (*table.Accepted, store.Revision, error) {
 	current, version, err := store.Read[table.Accepted](ctx, i.store, store.KeyConfig)
 	return &current, version, err
 }
 
+// known returns the declaration in force at this instance, an empty one if none is.
 func (i *Intents) known() *table.Accepted {
 	if a := i.config.Accepted(); a != nil {
 		return a
@@ -106,12 +111,13 @@
 	return &table.Accepted{}
 }
 
+// indexOf returns the index of an accepted declaration and parses it if needed.
 func indexOf(a *table.Accepted) (*declaration.Index, error) {
 	if a.Generation == 0 {
 		return declaration.NewIndex(0, "", &declaration.Declaration{}), nil
 	}
 	if index := a.Index(); index != nil {
-		return index, nil // in force here, and shared: not to be parsed again
+		return index, nil // in force at this instance and shared: must not be parsed again
 	}
 	if err := a.Parse(); err != nil {
 		return nil, errors.Wrap(err, "intent: accepted declaration")
@@ -119,8 +125,8 @@
 	return a.Index(), nil
 }
 
-// unreachable warns of failure domains in which no instance is known to be
-// alive: their slots count as used until they are back.
+// unreachable returns warnings for failure domains without an instance known to be
+// alive: their slots count as used until they are reachable again.
 func (i *Intents) unreachable() []string {
 	var out []string
 	for _, domain := range i.config.Index().Declaration.FailureDomains {
@@ -131,8 +137,10 @@
 	return out
 }
 
-// Confirm accepts the plan with this id and returns its generation. It may be
-// repeated: a plan that was accepted before is not accepted twice.
+// Confirm accepts the plan with the given ID and returns its generation. It is
+// idempotent: confirming an accepted plan again returns the same generation. The
+// error is a *verdict.Failure; its verdict is MayHaveRun if the outcome of the write
+// is unknown.
 func (i *Intents) Confirm(ctx context.Context, id string, base int64, source []byte) (*table.Accepted, error) {
 	if _, err := parse(source); err != nil {
 		return nil, err
@@ -153,7 +161,8 @@
 	return i.accept(ctx, current, version, id, source)
 }
 
-// acceptedAs finds the generation under which a plan was accepted.
+// acceptedAs returns the generation under which a plan was accepted, false if it is
+// not among the kept plan IDs.
 func acceptedAs(current *table.Accepted, id string) (int64, bool) {
 	at := slices.Index(current.Plans, id)
 	if at < 0 {
@@ -162,6 +171,8 @@
 	return current.Generation - int64(len(current.Plans)-1-at), true
 }
 
+// accept writes source as the generation after current, if the stored declaration
+// still has the given version.
 func (i *Intents) accept(ctx context.Context, current *table.Accepted, version store.Revision, id string, source []byte) (*table.Accepted, error) {
 	next := &table.Accepted{
 		Generation: current.Generation + 1, PlanID: id,
@@ -170,8 +181,8 @@
 	if err := next.SetSource(source); err != nil {
 		return nil, err
 	}
-	if len(next.Plans) > keptPlans {
-		next.Plans = next.Plans[len(next.Plans)-keptPlans:]
+	if len(next.Plans) > maxKeptPlans {
+		next.Plans = next.Plans[len(next.Plans)-maxKeptPlans:]
 	}
 	value, err := Encode(next)
 	if err != nil {
@@ -200,8 +211,8 @@
 	}
 }
 
-// stale refuses a plan whose base is not current and says what the difference
-// to the current generation is.
+// stale returns the refusal of a plan whose base generation is not current, with
+// the differences between its declaration and the current generation.
 func (i *Intents) stale(current *table.Accepted, base int64, source []byte) error {
 	f := verdict.Refuse(verdict.ReasonStalePlan, "the plan is against generation %d, current is %d", base, current.Generation)
 	before, err := indexOf(current)
@@ -220,10 +231,10 @@
 	return f
 }
 
-// Encode returns the platform value of an accepted declaration.
+// Encode returns the stored value of an accepted declaration.
 func Encode(a *table.Accepted) ([]byte, error) { return json.Marshal(a) }
 
-// Decode reads the platform value of an accepted declaration.
+// Decode parses the stored value of an accepted declaration.
 func Decode(value []byte) (*table.Accepted, error) {
 	a := &table.Accepted{}
 	err := json.Unmarshal(value, a)
--- a/command/intent/intent_test.go
+++ b/command/intent/intent_test.go
@@ -34,6 +34,9 @@
 	return New(s, tables.Config, tables.Members.Populated)
 }
 
+// TestPlanThenConfirm checks that a confirmed plan becomes generation 1, that
+// confirming it again is idempotent, and that its ID is refused for another
+// declaration.
 func TestPlanThenConfirm(t *testing.T) {
 	i := newIntents(standin.NewPlatform())
 	plan, err := i.Plan(t.Context(), source(1))
@@ -41,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if len(plan.Changes) == 0 || plan.BaseGeneration != 0 {
-		t.Errorf("plan %+v", plan)
+		t.Errorf("plan %+v, want changes relative to generation 0", plan)
 	}
 	accepted, err := i.Confirm(t.Context(), plan.ID, plan.BaseGeneration, source(1))
 	if err != nil || accepted.Generation != 1 {
@@ -49,13 +52,16 @@
 	}
 	again, err := i.Confirm(t.Context(), plan.ID, plan.BaseGeneration, source(1))
 	if err != nil || again.Generation != 1 {
-		t.Errorf("repeated confirm: generation %d: %v", again.Generation, err)
+		t.Errorf("repeated confirmation: generation %d, error %v, want generation 1", again.Generation, err)
 	}
 	if _, err := i.Confirm(t.Context(), plan.ID, plan.BaseGeneration, source(2)); verdict.Of(err).Reason != verdict.ReasonInvalid {
-		t.Errorf("confirm of another declaration under the plan's id: %v", err)
+		t.Errorf("confirmation of another declaration under the plan's ID: %v, want ReasonInvalid", err)
 	}
 }
 
+// TestStalePlanShowsDifference checks that a plan whose base generation has been
+// superseded is refused, and that the refusal lists the differences to the current
+// generation.
 func TestStalePlanShowsDifference(t *testing.T) {
 	i := newIntents(standin.NewPlatform())
 	mine, _ := i.Plan(t.Context(), source(1))
@@ -66,14 +72,15 @@
 	_, err := i.Confirm(t.Context(), mine.ID, mine.BaseGeneration, source(1))
 	f := verdict.Of(err)
 	if f.Reason != verdict.ReasonStalePlan || !strings.Contains(f.Detail, "maxReplicas 3 to 1") {
-		t.Errorf("%v, want stale_plan with the difference", err)
+		t.Errorf("%v, want stale_plan with the change of maxReplicas from 3 to 1", err)
 	}
 }
 
-// TestRacingOperators: many operators confirm while the platform loses
-// answers. The history is that of one register with compare-and-set: a
-// generation is accepted once, and nothing that was accepted is undone.
-func TestRacingOperators(t *testing.T) {
+// TestConcurrentOperators guards against two operators' plans being accepted for the
+// same base generation, and against accepted plans being lost. Operators confirm
+// concurrently while the store loses answers; the history must be that of a
+// compare-and-set register.
+func TestConcurrentOperators(t *testing.T) {
 	type confirm struct{ base int64 }
 	type result struct {
 		generation int64
@@ -115,10 +122,10 @@
 						return
 					}
 					mu.Lock()
-					pause, lose := rng.IntN(40), rng.IntN(4) == 0
+					pause, loseAnswer := rng.IntN(40), rng.IntN(4) == 0
 					mu.Unlock()
 					time.Sleep(time.Duration(pause) * time.Millisecond)
-					if lose {
+					if loseAnswer {
 						p.LoseAnswers(1)
 					}
 					call := time.Now().UnixNano()
@@ -135,17 +142,17 @@
 		}
 		all.Wait()
 		if !porcupine.CheckOperations(register.ToModel(), history) {
-			t.Error("the confirms are not those of one register")
+			t.Error("history of confirmations not linearizable as a compare-and-set register")
 		}
 		current, _, err := newIntents(p).newest(t.Context())
 		if err != nil || current.Generation < 2 {
-			t.Errorf("generation %d: %v", current.Generation, err)
+			t.Errorf("generation %d, error %v, want at least 2", current.Generation, err)
 		}
 	})
 }
 
-// TestSizeInTwoYears: the declaration at the two-year size fits into one value
-// of the platform.
+// TestSizeInTwoYears checks that a declaration at the size projected for two years
+// fits into one stored value.
 func TestSizeInTwoYears(t *testing.T) {
 	twoYears := deployments.TwoYears()
 	i := newIntents(standin.NewPlatform())
@@ -163,6 +170,6 @@
 	}
 	t.Logf("source %d bytes, value %d bytes", len(twoYears), len(value))
 	if len(value) > 1<<20 {
-		t.Errorf("value has %d bytes", len(value))
+		t.Errorf("stored value has %d bytes, more than the limit", len(value))
 	}
 }
