--- a/declaration/declaration.go
+++ b/declaration/declaration.go
@@ -1,6 +1,7 @@
-// Package declaration holds what operators declare: failure domains, backend
-// servers, models, adapters and services, in YAML files kept in their version
-// control. It parses, validates and compares declarations and does no I/O.
+// Package declaration defines the declarations of operators: failure domains,
+// backend servers, models, adapters and services, written as YAML files and kept
+// under version control. It parses, validates and compares declarations and performs
+// no I/O.
 package declaration
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/dustin/go-humanize"
 )
 
-// Size is a number of bytes, written as "14GiB" or "200MB".
+// Size is a number of bytes, written with a unit, such as "14GiB" or "200MB".
 type Size int64
 
 // UnmarshalText parses a size with a unit.
@@ -28,12 +29,13 @@
 	return []byte(humanize.IBytes(uint64(s))), nil
 }
 
-// Declaration is everything that operators decide.
+// Declaration is the complete configuration declared by operators.
 type Declaration struct {
 	// FailureDomains lists the domains in which instances and backend servers run.
 	FailureDomains []string `yaml:"failureDomains"`
-	// TailWeight from 0 to 1 weighs tail cold start against idle accelerator
-	// hours: 1 keeps models loaded longest, 0 unloads soonest.
+	// TailWeight, from 0 to 1, trades tail latency of cold starts against idle
+	// accelerator time: at 1 idle models stay loaded longest, at 0 they are unloaded
+	// soonest.
 	TailWeight float64 `yaml:"tailWeight"`
 	// WeightStore describes the limits of the weight store.
 	WeightStore WeightStore `yaml:"weightStore"`
@@ -43,11 +45,11 @@
 	Adapters    []Adapter   `yaml:"adapters,omitempty"`
 }
 
-// WeightStore gives the limits of the weight store over all failure domains.
+// WeightStore holds the limits of the weight store across all failure domains.
 type WeightStore struct {
-	// StartsPerSecond is how many loads may start in a second.
+	// StartsPerSecond is the maximum number of loads started per second.
 	StartsPerSecond float64 `yaml:"startsPerSecond"`
-	// Streams is how many loads run at full speed at once.
+	// Streams is the number of concurrent loads that run at full speed.
 	Streams int `yaml:"streams"`
 }
 
@@ -57,15 +59,15 @@
 	FailureDomain string `yaml:"failureDomain"`
 	// Address is host:port of the engine's HTTP interface.
 	Address string `yaml:"address"`
-	// Memory is the accelerator memory that models and adapters share.
+	// Memory is the accelerator memory shared by models and adapters.
 	Memory Size `yaml:"memory"`
-	// Fencing says that the engine refuses orders with an old epoch.
+	// Fencing is set if the engine refuses orders with an old epoch.
 	Fencing bool `yaml:"fencing"`
-	// Role is what the engine is ordered to be, in its own terms, such as
-	// prefill or decode; empty leaves it as it is.
+	// Role is the role assigned to the engine, in the engine's own terms, such as
+	// prefill or decode; if empty, its role is not changed.
 	Role string `yaml:"role,omitempty"`
-	// Lost is the operator's word that the engine is off and stays off: its
-	// slots are freed. Never set it while the engine may still run.
+	// Lost is set by operators to state that the engine is off permanently; its slots
+	// are then freed. It must not be set while the engine may still be running.
 	Lost bool `yaml:"lost,omitempty"`
 }
 
@@ -73,15 +75,18 @@
 type Model struct {
 	Name    string `yaml:"name"`
 	Version string `yaml:"version"`
-	// Memory is what one replica occupies.
+	// Memory is the accelerator memory used by one replica.
 	Memory Size `yaml:"memory"`
-	// MaxReplicas bounds the replicas over all failure domains; 0 serves none.
+	// MaxReplicas is the maximum number of replicas across all failure domains; at 0
+	// the model is not served.
 	MaxReplicas int `yaml:"maxReplicas"`
-	// Deadline is the time allowed to requests that bring none.
+	// Deadline is the time limit of requests that do not set one.
 	Deadline time.Duration `yaml:"deadline"`
-	// FailureDomains restricts where the model is loaded; empty allows all.
+	// FailureDomains lists the domains in which the model may be loaded; empty allows
+	// all.
 	FailureDomains []string `yaml:"failureDomains,omitempty"`
-	// QueueLimit bounds the waiting requests an instance; 0 takes the setting.
+	// QueueLimit is the maximum number of the model's requests in progress or queued
+	// at one instance; 0 uses the instance's setting.
 	QueueLimit int `yaml:"queueLimit,omitempty"`
 }
 
@@ -93,7 +98,7 @@
 	Memory  Size   `yaml:"memory"`
 }
 
-// Service is a plain service beside the engines.
+// Service is a plain (non-inference) service.
 type Service struct {
 	Name      string        `yaml:"name"`
 	Deadline  time.Duration `yaml:"deadline"`
@@ -101,10 +106,10 @@
 	Instances []Backend     `yaml:"instances"`
 }
 
-// Method is one call of a service. A method that is not declared is refused.
+// Method is one method of a service. Calls to undeclared methods are refused.
 type Method struct {
 	Name string `yaml:"name"`
-	// Idempotent says that the call may be repeated.
+	// Idempotent is set if the call may be repeated.
 	Idempotent bool `yaml:"idempotent"`
 }
 
@@ -115,7 +120,7 @@
 	Address       string `yaml:"address"`
 }
 
-// Index gives access to a declaration by name. It is immutable.
+// Index provides access to the parts of a declaration by name. It is immutable.
 type Index struct {
 	Generation  int64
 	PlanID      string
@@ -126,7 +131,7 @@
 	Services    map[string]*Service
 }
 
-// AdapterID names an adapter: names are unique within a model.
+// AdapterID identifies an adapter. Adapter names are unique within a model only.
 type AdapterID struct {
 	Model, Adapter string
 }
@@ -167,7 +172,7 @@
 	return false
 }
 
-// FindMethod returns the declared method of that name, or nil.
+// FindMethod returns the declared method with the given name, or nil.
 func (s *Service) FindMethod(name string) *Method {
 	for i := range s.Methods {
 		if s.Methods[i].Name == name {
--- a/declaration/diff.go
+++ b/declaration/diff.go
@@ -7,24 +7,24 @@
 	"strings"
 )
 
-// Change is one difference between two declarations, in operators' terms.
+// Change is one difference between two declarations, described for operators.
 type Change struct {
-	// Kind is add, remove or change.
+	// Kind is ChangeAdd, ChangeRemove or ChangeModify.
 	Kind string
 	// Subject names what changes, such as "model caption-et".
 	Subject string
-	// Detail says how, and what follows from it.
+	// Detail describes the change and its consequences; it may be empty.
 	Detail string
 }
 
-// The kinds of changes.
+// Values of Change.Kind.
 const (
 	ChangeAdd    = "add"
 	ChangeRemove = "remove"
 	ChangeModify = "change"
 )
 
-// Diff returns the changes from before to after in a stable order.
+// Diff returns the changes from before to after in a deterministic order.
 func Diff(before, after *Declaration) []Change {
 	var out []Change
 	out = append(out, diffDomains(before, after)...)
@@ -62,26 +62,27 @@
 	return out
 }
 
-// diffNamed compares two lists whose items have unique names.
+// diffNamed returns the changes between two lists whose items have unique names.
+// detail describes the change of an item.
 func diffNamed[T any](kind string, before, after []T, name func(T) string, detail func(a, b T) string) []Change {
 	var out []Change
 	old := map[string]T{}
 	for _, item := range before {
 		old[name(item)] = item
 	}
-	kept := map[string]bool{}
+	inAfter := map[string]bool{}
 	for _, item := range after {
-		was, found := old[name(item)]
-		kept[name(item)] = true
+		previous, found := old[name(item)]
+		inAfter[name(item)] = true
 		switch {
 		case !found:
 			out = append(out, Change{ChangeAdd, kind + " " + name(item), ""})
-		case !reflect.DeepEqual(was, item):
-			out = append(out, Change{ChangeModify, kind + " " + name(item), detail(was, item)})
+		case !reflect.DeepEqual(previous, item):
+			out = append(out, Change{ChangeModify, kind + " " + name(item), detail(previous, item)})
 		}
 	}
 	for _, item := range before {
-		if !kept[name(item)] {
+		if !inAfter[name(item)] {
 			out = append(out, Change{ChangeRemove, kind + " " + name(item), "requests for it are refused; what is loaded is unloaded once idle"})
 		}
 	}
--- a/declaration/parse.go
+++ b/declaration/parse.go
@@ -12,34 +12,34 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Fault is one mistake in a declaration.
+// Fault is one error in a declaration.
 type Fault struct {
 	// Path is the YAML path of the field, such as $.models[2].memory.
 	Path string
-	// Line is the line in the source, 0 when unknown.
+	// Line is the line in the source, 0 if unknown.
 	Line int
-	// Message says what is wrong and Mend what to write instead.
+	// Message describes the error, and Mend how to correct it.
 	Message string
-	Mend    string
+	Hint    string
 }
 
-// Faults is all mistakes found in one declaration.
+// Faults is an error that holds all errors found in one declaration.
 type Faults struct {
 	File string
 	List []Fault
 }
 
-// Error returns one line a fault, as file:line: path: message; mend.
+// Error returns one line per fault, in the format "file:line: path: message; hint".
 func (f *Faults) Error() string {
 	lines := make([]string, 0, len(f.List))
-	for _, one := range f.List {
-		lines = append(lines, fmt.Sprintf("%s:%d: %s: %s; %s", f.File, one.Line, one.Path, one.Message, one.Mend))
+	for _, fault := range f.List {
+		lines = append(lines, fmt.Sprintf("%s:%d: %s: %s; %s", f.File, fault.Line, fault.Path, fault.Message, fault.Hint))
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads and validates a declaration. file is used in messages only. The
-// error is *Faults when the content is at fault.
+// Parse parses and validates a declaration. file is used in messages only. The
+// error is a *Faults.
 func Parse(file string, source []byte) (*Declaration, error) {
 	d := &Declaration{}
 	decoder := yaml.NewDecoder(bytes.NewReader(source))
@@ -48,7 +48,7 @@
 		return nil, &Faults{File: file, List: syntaxFaults(err)}
 	}
 	if err := decoder.Decode(&Declaration{}); !errors.Is(err, io.EOF) {
-		return nil, &Faults{File: file, List: []Fault{{Path: "$", Message: "more than one document", Mend: "keep one document a file"}}}
+		return nil, &Faults{File: file, List: []Fault{{Path: "$", Message: "more than one document", Hint: "keep one document a file"}}}
 	}
 	faults := Validate(d)
 	if len(faults) == 0 {
@@ -58,15 +58,16 @@
 	return nil, &Faults{File: file, List: faults}
 }
 
-// linePattern finds the line in the parser's messages.
+// linePattern matches the line number in the YAML parser's messages.
 var linePattern = regexp.MustCompile(`^(?:yaml: )?line (\d+): (.*)$`)
 
-// syntaxMend is all that can be advised about a file that cannot be read.
-const syntaxMend = "correct it, docs/OPERATIONS.md lists the fields"
+// syntaxHint is the correction hint for all errors reported by the YAML parser.
+const syntaxHint = "correct it, docs/OPERATIONS.md lists the fields"
 
+// syntaxFaults converts an error of the YAML parser to faults.
 func syntaxFaults(err error) []Fault {
 	if errors.Is(err, io.EOF) {
-		return []Fault{{Path: "$", Line: 1, Message: "empty file", Mend: "declare at least failureDomains, weightStore and engines"}}
+		return []Fault{{Path: "$", Line: 1, Message: "empty file", Hint: "declare at least failureDomains, weightStore and engines"}}
 	}
 	messages := []string{err.Error()}
 	var typed *yaml.TypeError
@@ -75,7 +76,7 @@
 	}
 	var out []Fault
 	for _, m := range messages {
-		fault := Fault{Path: "$", Message: m, Mend: syntaxMend}
+		fault := Fault{Path: "$", Message: m, Hint: syntaxHint}
 		if found := linePattern.FindStringSubmatch(m); found != nil {
 			fault.Line, _ = strconv.Atoi(found[1])
 			fault.Message = strings.ReplaceAll(found[2], "type declaration.", "")
@@ -85,7 +86,7 @@
 	return out
 }
 
-// addLines looks up the line of each fault's path.
+// addLines sets the line of each fault from its path.
 func addLines(source []byte, faults []Fault) {
 	var root yaml.Node
 	if yaml.Unmarshal(source, &root) != nil || len(root.Content) == 0 {
@@ -96,10 +97,10 @@
 	}
 }
 
-// stepPattern splits a path into names and indexes.
+// stepPattern matches the names and indexes in a path.
 var stepPattern = regexp.MustCompile(`[A-Za-z]+|\d+`)
 
-// lineOf returns the line of path, or of the nearest parent that exists.
+// lineOf returns the line of path, or of its nearest existing parent.
 func lineOf(node *yaml.Node, path string) int {
 	line := node.Line
 	for _, step := range stepPattern.FindAllString(path, -1) {
@@ -112,6 +113,7 @@
 	return line
 }
 
+// child returns the child of node with the given name or index, or nil.
 func child(node *yaml.Node, step string) *yaml.Node {
 	if index, err := strconv.Atoi(step); err == nil && node.Kind == yaml.SequenceNode {
 		if index < len(node.Content) {
--- a/declaration/size_test.go
+++ b/declaration/parse_bench_test.go
@@ -7,7 +7,8 @@
 	"github.com/martenport/martenport/internal/deployments"
 )
 
-// BenchmarkParse measures what an instance spends on one accepted declaration.
+// BenchmarkParse measures the cost of parsing a declaration of the size projected
+// for two years, which each instance does once per accepted declaration.
 func BenchmarkParse(b *testing.B) {
 	source := deployments.TwoYears()
 	b.ReportAllocs()
--- a/declaration/parse_test.go
+++ b/declaration/parse_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-const sound = `failureDomains: [a, b]
+const validSource = `failureDomains: [a, b]
 tailWeight: 0.5
 weightStore: {startsPerSecond: 3, streams: 4}
 engines:
@@ -23,7 +23,8 @@
   - {name: wedding, model: caption, version: "1", memory: 200MiB}
 `
 
-// TestFaults: each mistake is refused with its line, field and mend.
+// TestFaults checks that each kind of error is reported with its line, field and
+// correction hint, and that a valid declaration is accepted.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"unknown field", "maxReplicas: 2", "maxReplica: 2", "f.yaml:10: $: field maxReplica not found in Model; correct it"},
@@ -41,42 +42,43 @@
 		{"not YAML", "engines:", "engines: [", "f.yaml:"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse("f.yaml", []byte(strings.Replace(sound, c.old, c.new, 1)))
+			_, err := Parse("f.yaml", []byte(strings.Replace(validSource, c.old, c.new, 1)))
 			var faults *Faults
 			if !errors.As(err, &faults) || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v\nwant %s", err, c.want)
 			}
 		})
 	}
-	if _, err := Parse("f.yaml", []byte(sound)); err != nil {
-		t.Errorf("sound declaration: %v", err)
+	if _, err := Parse("f.yaml", []byte(validSource)); err != nil {
+		t.Errorf("valid declaration refused: %v", err)
 	}
 	if _, err := Parse("f.yaml", nil); err == nil {
-		t.Error("an empty file was accepted")
+		t.Error("empty file accepted")
 	}
 }
 
-// TestAllFaultsAtOnce: a file with several mistakes is told all of them.
-func TestAllFaultsAtOnce(t *testing.T) {
-	text := strings.NewReplacer("maxReplicas: 2", "maxReplicas: -2", "model: caption", "model: x", "failureDomain: a,", "failureDomain: y,").Replace(sound)
+// TestAllFaultsReported checks that all errors of a file are reported together, not
+// only the first.
+func TestAllFaultsReported(t *testing.T) {
+	text := strings.NewReplacer("maxReplicas: 2", "maxReplicas: -2", "model: caption", "model: x", "failureDomain: a,", "failureDomain: y,").Replace(validSource)
 	_, err := Parse("f.yaml", []byte(text))
 	var faults *Faults
 	if !errors.As(err, &faults) || len(faults.List) < 3 {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want at least 3 faults", err)
 	}
 }
 
-// TestDiffOfSame: a declaration does not differ from itself, and whatever is
-// removed is added by the reverse.
-func TestDiffOfSame(t *testing.T) {
+// TestDiffSymmetry checks that a declaration has no changes relative to itself, and
+// that the additions of a diff are the removals of the reverse diff.
+func TestDiffSymmetry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawDeclaration(t, "a"), drawDeclaration(t, "b")
 		if changes := Diff(a, a); len(changes) != 0 {
-			t.Fatalf("differs from itself: %v", changes)
+			t.Fatalf("changes relative to itself: %v", changes)
 		}
-		forth, back := count(Diff(a, b)), count(Diff(b, a))
-		if forth[ChangeAdd] != back[ChangeRemove] || forth[ChangeModify] != back[ChangeModify] {
-			t.Fatalf("forth %v, back %v", forth, back)
+		forward, reverse := count(Diff(a, b)), count(Diff(b, a))
+		if forward[ChangeAdd] != reverse[ChangeRemove] || forward[ChangeModify] != reverse[ChangeModify] {
+			t.Fatalf("diff has changes %v, reverse diff %v", forward, reverse)
 		}
 	})
 }
@@ -89,6 +91,7 @@
 	return d
 }
 
+// count returns the number of changes by kind.
 func count(changes []Change) map[string]int {
 	out := map[string]int{}
 	for _, c := range changes {
@@ -97,12 +100,13 @@
 	return out
 }
 
+// FuzzParse checks that Parse never panics and accepts only valid declarations.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validSource))
 	f.Fuzz(func(t *testing.T, source []byte) {
 		d, err := Parse("fuzz", source)
 		if err == nil && len(Validate(d)) > 0 {
-			t.Error("accepted a declaration with faults")
+			t.Error("declaration with faults accepted")
 		}
 	})
 }
--- a/declaration/validate.go
+++ b/declaration/validate.go
@@ -10,24 +10,25 @@
 	"github.com/dustin/go-humanize"
 )
 
-// maxDeadline bounds declared deadlines: overnight work is at most a day.
+// maxDeadline is the maximum declared deadline. The longest requests are overnight
+// jobs, which take less than a day.
 const maxDeadline = 24 * time.Hour
 
-// namePattern is what names of all kinds must match: they become parts of
-// object keys and metric labels.
+// namePattern matches valid names of all kinds. Names become parts of object keys
+// and metric labels.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// IsName reports whether s can name an instance, a failure domain, or anything
-// that is declared.
+// IsName reports whether s is a valid name for an instance, a failure domain or any
+// declared object.
 func IsName(s string) bool { return namePattern.MatchString(s) }
 
-// checker collects faults.
+// checker validates one declaration and collects its faults.
 type checker struct {
 	d      *Declaration
 	faults []Fault
 }
 
-// Validate returns every fault of d, none when it is sound.
+// Validate returns all faults of d, nil if it is valid.
 func Validate(d *Declaration) []Fault {
 	c := &checker{d: d}
 	c.domains()
@@ -39,10 +40,11 @@
 	return c.faults
 }
 
-func (c *checker) fault(path, message, mend string) {
-	c.faults = append(c.faults, Fault{Path: path, Message: message, Mend: mend})
+func (c *checker) fault(path, message, hint string) {
+	c.faults = append(c.faults, Fault{Path: path, Message: message, Hint: hint})
 }
 
+// name checks that a name is valid and not in seen, and adds it there.
 func (c *checker) name(path, name string, seen map[string]bool) {
 	if !IsName(name) {
 		c.fault(path, fmt.Sprintf("%q is not a name", name), "use 1 to 63 of a-z, 0-9, dot, dash and underscore")
