--- a/backend/generate.go
+++ b/backend/generate.go
@@ -47,8 +47,9 @@
 	return body, nil
 }
 
-// request sends a request once and returns the open answer, or a Failure whose
-// verdict is NotRun only if no connection was had, so that no byte was sent.
+// request sends a request once and returns the response, whose body the caller must
+// close, or a *verdict.Failure. After a send error its verdict is NotRun only if no
+// connection was obtained, so that no byte was sent.
 func (h *HTTP) request(ctx context.Context, path string, body any) (*http.Response, error) {
 	resp, connected, err := h.postTraced(ctx, path, body)
 	if err != nil {
@@ -65,6 +66,8 @@
 	return resp, nil
 }
 
+// reasonOf returns the reason of a failed send: the end of ctx, else the backend
+// server.
 func reasonOf(ctx context.Context) verdict.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -76,7 +79,8 @@
 	}
 }
 
-// stream checks that the tokens are its attempt's own and without gaps.
+// stream implements Stream. It checks that all tokens belong to the attempt and that
+// none is missing.
 type stream struct {
 	attempt string
 	next    int64
--- a/backend/http.go
+++ b/backend/http.go
@@ -17,7 +17,7 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// Paths of the engines' and services' HTTP interface.
+// Paths of the HTTP interface of engines and plain services.
 const (
 	PathFence    = "/v1/fence"
 	PathLoad     = "/v1/load"
@@ -29,46 +29,49 @@
 	PathCall     = "/v1/call"
 )
 
-// Refusal is the body of an answer with status 4xx or 5xx.
+// Refusal is the body of a response with status 4xx or 5xx.
 type Refusal struct {
 	Error string `json:"error"`
-	// NotRun is the backend server's own word that nothing ran.
+	// NotRun is set if the backend server asserts that the request did not run.
 	NotRun       bool  `json:"not_run"`
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// maxReportBytes bounds a report and maxCallBytes a plain service's answer.
+// Size limits of response bodies: reports and acknowledgements of orders, answers of
+// plain services, and refusals.
 const (
 	maxReportBytes  = 4 << 20
 	maxCallBytes    = 8 << 20
 	maxRefusalBytes = 64 << 10
 )
 
-// HTTP is an Engine and a Service at one base URL.
+// HTTP implements Engine and Service for the backend server at one base URL.
 type HTTP struct {
 	base       string
 	client     *http.Client
 	credential string
 }
 
-// NewHTTP returns the backend server at base. credential, if not empty, is
-// sent as a bearer token with each order, for those servers that check.
+// NewHTTP returns a client of the backend server at the base URL. credential, if not
+// empty, is sent as a bearer token with each POST request.
 func NewHTTP(base string, client *http.Client, credential string) *HTTP {
 	return &HTTP{base: base, client: client, credential: credential}
 }
 
-// A backend server that a partition cut off must be noticed soon: a request
-// sent into silence comes back as MayHaveRun, one that found no connection as
-// NotRun. New connections are given dialTimeout, open ones may be silent for as
-// many round trips as silence is.
+// An unreachable backend server must be detected quickly: a request sent on a
+// connection whose peer no longer responds fails with verdict MayHaveRun, one for
+// which no connection could be established with NotRun. dialTimeout limits the
+// establishment of a connection. An open connection is closed when data or a
+// keep-alive probe stays unacknowledged for ackTimeout, which is several round trips.
 const (
 	dialTimeout = time.Second
-	silence     = 4 * time.Second
+	ackTimeout  = 4 * time.Second
 )
 
-// NewTransport returns the connection pool that all backend servers share.
+// NewTransport returns a connection pool to be shared by the clients of all backend
+// servers.
 func NewTransport() *http.Transport {
-	dial := tcpdial.Params{Connect: dialTimeout, Silence: silence}
+	dial := tcpdial.Params{Connect: dialTimeout, Silence: ackTimeout}
 	return &http.Transport{DialContext: dial.Dial, MaxIdleConnsPerHost: 64, IdleConnTimeout: 90 * time.Second, DisableCompression: true}
 }
 
@@ -124,6 +127,8 @@
 	return report, errors.Wrap(err, "backend: report")
 }
 
+// order sends an order and decodes the response into out. The error wraps
+// ErrStaleEpoch, ErrRefused or ErrUnknown.
 func (h *HTTP) order(ctx context.Context, path string, body, out any) error {
 	resp, connected, err := h.postTraced(ctx, path, body)
 	if err != nil && !connected {
@@ -148,8 +153,8 @@
 	return nil
 }
 
-// postTraced is post, and says whether a connection was had: without one, no
-// byte of the request was sent.
+// postTraced is like post and also reports whether a connection was obtained.
+// Without one, no byte of the request was sent.
 func (h *HTTP) postTraced(ctx context.Context, path string, body any) (*http.Response, bool, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -157,8 +162,8 @@
 	return resp, connected.Load(), err
 }
 
-// post sends one request. It is never repeated by the transport: POST carries
-// no idempotency header and the body cannot be rewound.
+// post sends a POST request. The transport never retries it, since it has no
+// idempotency header and its body cannot be rewound.
 func (h *HTTP) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -176,6 +181,7 @@
 	return h.client.Do(req)
 }
 
+// readRefusal reads the body of a response with status 4xx or 5xx.
 func readRefusal(body io.Reader) Refusal {
 	var r Refusal
 	if err := json.NewDecoder(io.LimitReader(body, maxRefusalBytes)).Decode(&r); err != nil {
@@ -184,13 +190,15 @@
 	return r
 }
 
+// drainAndClose reads what is left of a body, up to maxRefusalBytes, so that the
+// connection can be reused, and closes it.
 func drainAndClose(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, maxRefusalBytes)
 	_ = body.Close()
 }
 
-// requestFailure turns a refused request into a Failure. NotRun is taken from
-// the backend server's own word alone.
+// requestFailure converts an error response to a Failure. Its verdict is NotRun only
+// if the backend server asserts it.
 func requestFailure(resp *http.Response) *verdict.Failure {
 	r := readRefusal(resp.Body)
 	v := verdict.MayHaveRun
--- a/backend/http_test.go
+++ b/backend/http_test.go
@@ -16,11 +16,12 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-func client(server *httptest.Server) *backend.HTTP {
+// newClient returns a newClient of the test server.
+func newClient(server *httptest.Server) *backend.HTTP {
 	return backend.NewHTTP(server.URL, &http.Client{Transport: backend.NewTransport()}, "")
 }
 
-// readAll takes tokens until the end or a failure.
+// readAll reads tokens until the end or a failure and returns their number.
 func readAll(ctx context.Context, e *backend.HTTP) (int, error) {
 	s, err := e.Generate(ctx, backend.Attempt{ID: "mine", MaxTokens: 3})
 	if err != nil {
@@ -35,8 +36,9 @@
 	}
 }
 
-// TestForeignAnswers: an answer that is another attempt's, has a gap, repeats
-// or ends without its end is never taken for whole.
+// TestForeignAnswers guards against corrupted answers: one that contains tokens of
+// another attempt, has gaps or repeated tokens, or lacks the end token must never be
+// treated as complete.
 func TestForeignAnswers(t *testing.T) {
 	token := func(attempt string, sequence int) string {
 		return fmt.Sprintf(`{"attempt":%q,"sequence":%d,"text":"x"}`, attempt, sequence)
@@ -63,18 +65,20 @@
 				}
 			}))
 			defer server.Close()
-			_, err := readAll(t.Context(), client(server))
+			_, err := readAll(t.Context(), newClient(server))
 			if c.whole != (err == nil) {
-				t.Errorf("whole=%t: %v", c.whole, err)
+				t.Errorf("error %v, want complete answer=%t", err, c.whole)
 			}
 			if err != nil && verdict.Of(err).Verdict != verdict.MayHaveRun {
-				t.Errorf("verdict of %v", err)
+				t.Errorf("%v, want verdict MayHaveRun", err)
 			}
 		})
 	}
 }
 
-// TestVerdictOfSending: NotRun only where no byte was sent or the engine says so.
+// TestVerdictOfSending guards against false NotRun verdicts, which would allow a
+// non-idempotent request to be sent twice: NotRun is returned only if no byte was
+// sent or the engine asserts it.
 func TestVerdictOfSending(t *testing.T) {
 	status := func(code int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -94,7 +98,7 @@
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(c.handler)
 			defer server.Close()
-			_, err := readAll(t.Context(), client(server))
+			_, err := readAll(t.Context(), newClient(server))
 			if verdict.Of(err).Verdict != c.want {
 				t.Errorf("%v, want %v", err, c.want)
 			}
@@ -107,17 +111,18 @@
 		}
 		address := l.Addr().String()
 		_ = l.Close()
-		nobody := backend.NewHTTP("http://"+address, &http.Client{Transport: backend.NewTransport()}, "")
-		if _, err := readAll(t.Context(), nobody); verdict.Of(err).Verdict != verdict.NotRun {
-			t.Errorf("%v", err)
+		unreachable := backend.NewHTTP("http://"+address, &http.Client{Transport: backend.NewTransport()}, "")
+		if _, err := readAll(t.Context(), unreachable); verdict.Of(err).Verdict != verdict.NotRun {
+			t.Errorf("request without a listener: %v, want verdict NotRun", err)
 		}
-		if _, err := nobody.Load(t.Context(), backend.Order{}); !errors.Is(err, backend.ErrRefused) {
-			t.Errorf("an order that was not sent: %v", err)
+		if _, err := unreachable.Load(t.Context(), backend.Order{}); !errors.Is(err, backend.ErrRefused) {
+			t.Errorf("order without a listener: %v, want ErrRefused", err)
 		}
 	})
 }
 
-// TestOrders: an engine's answers to orders, its credential, and its fencing.
+// TestOrders checks how an engine's answers to orders are mapped to errors: missing
+// credential, stale epoch, and an order for an earlier incarnation.
 func TestOrders(t *testing.T) {
 	engine := standin.NewEngine(standin.EngineParams{
 		MemoryBytes: 1 << 30, Fencing: true, StepTime: time.Millisecond, MaxBatch: 1, Credential: "secret",
@@ -127,24 +132,24 @@
 	defer server.Close()
 	defer engine.Restart()
 	ctx := t.Context()
-	if _, err := client(server).Fence(ctx, 1); !errors.Is(err, backend.ErrRefused) {
-		t.Errorf("an order without the credential: %v", err)
+	if _, err := newClient(server).Fence(ctx, 1); !errors.Is(err, backend.ErrRefused) {
+		t.Errorf("order without the credential: %v, want ErrRefused", err)
 	}
 	e := backend.NewHTTP(server.URL, http.DefaultClient, "secret")
 	report, err := e.Fence(ctx, 5)
 	if err != nil || report.Epoch != 5 {
-		t.Fatalf("%+v %v", report, err)
+		t.Fatalf("report %+v, error %v, want epoch 5", report, err)
 	}
 	order := backend.Order{Unit: backend.Unit{Model: "m", Version: "1"}, ID: "o1", Epoch: 4, Incarnation: report.Incarnation, MemoryBytes: 1}
 	if _, err := e.Load(ctx, order); !errors.Is(err, backend.ErrStaleEpoch) {
-		t.Errorf("an old epoch: %v", err)
+		t.Errorf("order with an old epoch: %v, want ErrStaleEpoch", err)
 	}
 	order.Epoch = 5
 	if ack, err := e.Load(ctx, order); err != nil || ack.Incarnation != report.Incarnation {
-		t.Errorf("%+v %v", ack, err)
+		t.Errorf("acknowledgement %+v, error %v, want the engine's incarnation", ack, err)
 	}
 	engine.Restart()
 	if _, err := e.Load(ctx, order); !errors.Is(err, backend.ErrRefused) {
-		t.Errorf("an order for an earlier incarnation: %v", err)
+		t.Errorf("order for an earlier incarnation: %v, want ErrRefused", err)
 	}
 }
