--- a/event/event.go
+++ b/event/event.go
@@ -1,6 +1,6 @@
-// Package event records what a process did, as typed events in a bounded ring
-// and as log lines. Events of all processes merge into one causal order by
-// their hybrid logical clock stamps.
+// Package event records the actions of a process as typed events, in a ring buffer
+// of fixed size and as log lines. The hybrid logical clock stamps of events allow the
+// events of all processes to be merged in causal order.
 package event
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Kind names what happened; docs/OPERATIONS.md lists the kinds.
+// Kind is the type of an event; docs/OPERATIONS.md lists the kinds.
 type Kind string
 
-// The kinds of events.
+// Kinds of events.
 const (
 	KindStart        Kind = "start"
 	KindDrain        Kind = "drain"
@@ -46,7 +46,7 @@
 	KindPeerBack     Kind = "peer_back"
 )
 
-// Event is one thing that happened in one process. Unused fields are empty.
+// Event is one event in one process. Fields that do not apply are empty.
 type Event struct {
 	Stamp   Stamp
 	Process string
@@ -58,14 +58,14 @@
 	Detail  string
 }
 
-// Filter selects events; empty fields match everything.
+// Filter selects events; empty fields match all events.
 type Filter struct {
 	Request, Model, Engine, Plan string
-	// Limit keeps only the newest events; 0 keeps all.
+	// Limit is the maximum number of events, the newest ones; 0 means no limit.
 	Limit int
 }
 
-// Match reports whether e passes the filter.
+// Match reports whether e matches the filter. It ignores Limit.
 func (f Filter) Match(e Event) bool {
 	return matches(f.Request, e.Request) && matches(f.Model, e.Model) &&
 		matches(f.Engine, e.Engine) && matches(f.Plan, e.Plan)
@@ -73,26 +73,27 @@
 
 func matches(want, have string) bool { return want == "" || want == have }
 
-// Recorder keeps the newest events of a process and logs each as one line.
+// Recorder keeps the newest events of a process and logs each event.
 type Recorder struct {
 	process string
 	clock   *Clock
 	log     *logrus.Logger
 
 	mu   sync.Mutex
-	ring []Event // guarded by mu; a circle once full
-	next int     // guarded by mu; where the next event goes once full
+	ring []Event // guarded by mu; ring buffer, appended to until full
+	next int     // guarded by mu; index of the oldest event, 0 until full
 }
 
-// NewRecorder returns a recorder that keeps up to size events. log may be nil.
+// NewRecorder returns a Recorder that keeps up to size events. If log is nil, events
+// are not logged.
 func NewRecorder(process string, clock *Clock, size int, log *logrus.Logger) *Recorder {
 	return &Recorder{process: process, clock: clock, log: log, ring: make([]Event, 0, size)}
 }
 
-// Clock returns the clock that stamps the events.
+// Clock returns the clock used to stamp events.
 func (r *Recorder) Clock() *Clock { return r.clock }
 
-// Record stamps, keeps and logs e.
+// Record sets the stamp and process of e, keeps it and logs it.
 func (r *Recorder) Record(e Event) {
 	e.Stamp = r.clock.Now()
 	e.Process = r.process
@@ -129,7 +130,7 @@
 	}
 }
 
-// Select returns the kept events that pass f, oldest first.
+// Select returns the kept events that match f, oldest first.
 func (r *Recorder) Select(f Filter) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
