--- a/backend/http_test.go
+++ b/backend/http_test.go
@@ -67,7 +67,7 @@
 			defer server.Close()
 			_, err := readAll(t.Context(), newClient(server))
 			if c.whole != (err == nil) {
-				t.Errorf("error %v, want complete answer=%t", err, c.whole)
+				t.Errorf("want complete answer: %t, got error %v", c.whole, err)
 			}
 			if err != nil && verdict.Of(err).Verdict != verdict.MayHaveRun {
 				t.Errorf("%v, want verdict MayHaveRun", err)
