--- a/operators/operators.go
+++ b/operators/operators.go
@@ -1,5 +1,6 @@
-// Package operators is the part of the operators' interface that is the same
-// wherever martenport runs: what is declared, planned and confirmed, and who may.
+// Package operators implements the part of the operator API that is common to all
+// deployments: reading, planning and confirming declarations, and the check of the
+// operator credential.
 package operators
 
 import (
@@ -16,22 +17,22 @@
 	"github.com/martenport/martenport/verdict/rpcerror"
 )
 
-// MaxMessageBytes bounds an operator's message: a declaration and what goes with
-// it.
+// MaxMessageBytes is the maximum size of an operator's message: a declaration and
+// the other fields of the message.
 const MaxMessageBytes = table.MaxSourceBytes + 4096
 
-// Declarations answers the calls on declarations, in the method set of
-// martenportv1connect.OperatorServiceHandler.
+// Declarations implements the methods of martenportv1connect.OperatorServiceHandler
+// that concern declarations.
 type Declarations struct {
 	Intents *intent.Intents
 	// Config is the declaration in force at this instance.
 	Config *table.Config
 	Events *event.Recorder
-	// Accepted is called with a declaration that was just accepted here.
+	// Accepted is called with each declaration that this instance has just accepted.
 	Accepted func(a *table.Accepted)
 }
 
-// Plan returns the changes that a declaration implies.
+// Plan returns the changes that a declaration would make.
 func (d Declarations) Plan(ctx context.Context, msg *connect.Request[martenportv1.PlanRequest]) (*connect.Response[martenportv1.PlanResponse], error) {
 	plan, err := d.Intents.Plan(ctx, msg.Msg.Declaration)
 	if err != nil {
@@ -73,12 +74,13 @@
 	return connect.NewResponse(out), nil
 }
 
-// RequireCredential refuses operators without the credential, if one is set.
+// RequireCredential wraps next in a check of the operators' bearer token. An empty
+// credential disables the check.
 func RequireCredential(credential string, next http.Handler) http.Handler {
 	want := "Bearer " + credential
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		given := r.Header.Get("Authorization")
-		if credential != "" && subtle.ConstantTimeCompare([]byte(given), []byte(want)) != 1 {
+		authorization := r.Header.Get("Authorization")
+		if credential != "" && subtle.ConstantTimeCompare([]byte(authorization), []byte(want)) != 1 {
 			http.Error(w, "operator credential missing or wrong", http.StatusUnauthorized)
 			return
 		}
