--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings is the settings of an instance, from flags and environment
-// variables. They are checked as a whole, with every fault listed at once.
+// Package settings defines the settings of an instance, which are read from flags
+// and environment variables. Validation reports all faults together.
 package settings
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/martenport/martenport/declaration"
 )
 
-// Settings of one instance. Durations are written as 250ms or 2s.
+// Settings are the settings of one instance. Durations are written as 250ms or 2s.
 type Settings struct {
 	Name          string `long:"name" env:"MARTENPORT_NAME" description:"name of this instance, unique in the fleet"`
 	FailureDomain string `long:"failure-domain" env:"MARTENPORT_FAILURE_DOMAIN" description:"failure domain in which it runs"`
@@ -51,7 +51,7 @@
 	Workers  int           `long:"workers" env:"MARTENPORT_WORKERS" default:"8" description:"engines looked after at once"`
 }
 
-// Check returns every fault of s in one error, nil when there is none.
+// Check returns one error that lists all faults of s, nil if there are none.
 func (s *Settings) Check() error {
 	var faults []string
 	fault := func(flag, format string, args ...any) {
@@ -72,6 +72,7 @@
 	return errors.Newf("settings:\n  %s", strings.Join(faults, "\n  "))
 }
 
+// faultFunc records a fault of the setting with the given flag.
 type faultFunc func(flag, format string, args ...any)
 
 func (s *Settings) checkNames(fault faultFunc) {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,6 +8,7 @@
 	"github.com/martenport/martenport/settings"
 )
 
+// parse returns the settings for the given command line.
 func parse(t *testing.T, args ...string) settings.Settings {
 	t.Helper()
 	var s settings.Settings
@@ -17,19 +18,22 @@
 	return s
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
+// TestAllFaultsReported checks that Check reports all faults, not only the first.
+func TestAllFaultsReported(t *testing.T) {
 	s := parse(t, "--listen", "nowhere", "--max-requests", "0", "--tls-cert", "c", "--log-level", "loud")
 	err := s.Check()
 	if err == nil {
-		t.Fatal("accepted")
+		t.Fatal("invalid settings accepted")
 	}
 	for _, flag := range []string{"--name", "--failure-domain", "--listen", "--platform-url", "--max-requests", "--tls-cert", "--log-level"} {
 		if !strings.Contains(err.Error(), flag+":") {
-			t.Errorf("%s is not named in:\n%v", flag, err)
+			t.Errorf("no fault of %s in:\n%v", flag, err)
 		}
 	}
 }
 
+// TestFlagsAndEnvironment checks that settings are read from flags and from
+// environment variables, including a list.
 func TestFlagsAndEnvironment(t *testing.T) {
 	t.Setenv("MARTENPORT_NAME", "i1")
 	t.Setenv("MARTENPORT_PEERS", "10.0.0.1:1,10.0.0.2:1")
@@ -38,6 +42,6 @@
 		t.Fatal(err)
 	}
 	if s.Name != "i1" || len(s.Peers) != 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("settings %+v, want name i1 and two peers", s)
 	}
 }
