--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,15 +1,17 @@
-// Package rendezvous chooses one of several names for a key by highest random
-// weight hashing (Thaler and Ravishankar, 1998): instances with the same list
-// choose alike without talking, and a change of the list moves only the keys
-// of the name that came or went. It decides who acts, never who may act.
+// Package rendezvous assigns keys to names by rendezvous (highest random weight)
+// hashing (Thaler and Ravishankar, 1998). Instances with the same list of names make
+// the same choice without communication, and adding or removing a name moves only
+// the keys of that name. The choice divides work among instances; safety must not
+// depend on it, since instances may have different lists.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// separator keeps ("ab","c") and ("a","bc") apart.
+// separator makes the hash inputs of ("ab", "c") and ("a", "bc") distinct.
 const separator = "\x00"
 
-// Choose returns the name that wins key, or "" when names is empty.
+// Choose returns the name with the highest weight for key, or "" if names is empty.
+// Ties go to the lexically smallest name.
 func Choose(key string, names []string) string {
 	best, bestWeight := "", uint64(0)
 	for _, name := range names {
@@ -21,8 +23,8 @@
 	return best
 }
 
-// weight mixes both strings and finalises, so that keys which differ in one
-// bit have unrelated weights.
+// weight hashes key and name and mixes the bits of the result, so that inputs which
+// differ in one bit have unrelated weights.
 func weight(key, name string) uint64 {
 	h := xxhash.Sum64String(key + separator + name)
 	h ^= h >> 33
