--- a/backend/http_test.go
+++ b/backend/http_test.go
@@ -16,7 +16,7 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// newClient returns a newClient of the test server.
+// newClient returns a client of the test server.
 func newClient(server *httptest.Server) *backend.HTTP {
 	return backend.NewHTTP(server.URL, &http.Client{Transport: backend.NewTransport()}, "")
 }
--- a/command/dispatch/call.go
+++ b/command/dispatch/call.go
@@ -75,7 +75,7 @@
 }
 
 // serversInOrder returns the service's servers that are not leaving, those in
-// this instance's failure domain first, in random serversInOrder within each group.
+// this instance's failure domain first, in random order within each group.
 func (c *Caller) serversInOrder(s *declaration.Service) []declaration.Backend {
 	domain := c.dispatcher.tables.Members.Self().FailureDomain
 	var near, far []declaration.Backend
