--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// burstBounds are what a wake storm may cost, whatever the number of instances.
+// Limits on the cost of a burst for one cold model, independent of the number of
+// instances.
 const (
 	maxOrdersPerBurst       = 1.0
 	maxPlatformCallsPerLoad = 6.0
 )
 
-// BenchmarkWakeStorm sends a request for one cold model to every instance at
-// once. The baseline, every instance deciding for itself, would send as many
-// orders as there are instances.
+// BenchmarkWakeStorm sends a request for one cold model to every instance
+// concurrently. The baseline is the number of orders if every instance decided
+// independently, which is the number of instances.
 func BenchmarkWakeStorm(b *testing.B) {
 	for _, nodesPerDomain := range []int{2, 20, 83} {
 		b.Run(fmt.Sprintf("instances=%d", nodesPerDomain*domainsAt(nodesPerDomain)), func(b *testing.B) {
@@ -27,7 +28,8 @@
 	}
 }
 
-// domainsAt is three failure domains today and four at the two-year size.
+// domainsAt returns the number of failure domains: three at the current size, four at
+// the size projected for two years.
 func domainsAt(nodesPerDomain int) int {
 	if nodesPerDomain <= 2 {
 		return 3
@@ -56,20 +58,20 @@
 		})
 	}
 	all.Wait()
-	took := time.Since(start)
+	elapsed := time.Since(start)
 	calls := f.platform.Reads.Load() + f.platform.Writes.Load() - before
 	orders := float64(f.loads())
 	b.ReportMetric(orders, "orders/burst")
 	b.ReportMetric(float64(calls)/orders, "platform-calls/load")
 	b.ReportMetric(float64(len(f.nodes)), "baseline-orders/burst")
-	b.ReportMetric(took.Seconds(), "virtual-s")
+	b.ReportMetric(elapsed.Seconds(), "virtual-s")
 	if failed > 0 || orders > maxOrdersPerBurst || float64(calls) > maxPlatformCallsPerLoad*orders {
-		t.Errorf("failed=%d orders=%v platform calls=%d", failed, orders, calls)
+		t.Errorf("limits exceeded: failed requests=%d orders=%v store calls=%d", failed, orders, calls)
 	}
 }
 
-// BenchmarkConfigSpread measures how long an accepted declaration takes to be
-// in force at every instance, and what it costs.
+// BenchmarkConfigSpread measures the time until an accepted declaration is in force
+// at all instances, and the reads and bytes that it takes.
 func BenchmarkConfigSpread(b *testing.B) {
 	for _, nodesPerDomain := range []int{2, 20, 83} {
 		b.Run(fmt.Sprintf("instances=%d", nodesPerDomain*domainsAt(nodesPerDomain)), func(b *testing.B) {
@@ -80,7 +82,7 @@
 	}
 }
 
-// maxConfigSeconds is the users' bound; the aim is 4 s.
+// maxConfigSeconds is the users' requirement; the target is 4 s.
 const maxConfigSeconds = 14
 
 func configSpread(t *testing.T, b *testing.B, nodesPerDomain int) {
@@ -91,18 +93,18 @@
 	time.Sleep(10 * time.Second)
 	reads, bytes := f.platform.Reads.Load(), f.net.bytes.Load()
 	f.accept(f.nodes[0], oneReplica+"  - {name: album, version: \"1\", memory: 14GiB, maxReplicas: 1, deadline: 60s}\n")
-	took := f.awaitUntil("generation 2 everywhere", time.Minute, func() bool { return f.generationsAre(2, f.domains...) })
-	b.ReportMetric(took.Seconds(), "virtual-s-to-all")
+	elapsed := f.awaitUntil("generation 2 everywhere", time.Minute, func() bool { return f.generationsAre(2, f.domains...) })
+	b.ReportMetric(elapsed.Seconds(), "virtual-s-to-all")
 	b.ReportMetric(float64(f.platform.Reads.Load()-reads), "platform-reads")
 	b.ReportMetric(float64(f.net.bytes.Load()-bytes)/float64(len(f.nodes)), "bytes/instance")
-	if took.Seconds() > maxConfigSeconds {
-		t.Errorf("%v to all", took)
+	if elapsed.Seconds() > maxConfigSeconds {
+		t.Errorf("declaration in force at all instances after %v, over the limit", elapsed)
 	}
 }
 
-// BenchmarkPeerControl measures what control costs one instance in a quiet
-// fleet whose engines report changing load: bytes and calls a second, processor
-// time, and heap, against the number of instances and engines.
+// BenchmarkPeerControl measures the cost of control traffic per instance, by the
+// number of instances and engines, in a fleet without requests whose engines report
+// changing load: bytes and store calls per second, processor time, and heap.
 func BenchmarkPeerControl(b *testing.B) {
 	for _, shape := range []struct{ nodes, engines int }{{2, 3}, {20, 36}, {40, 75}, {83, 150}} {
 		b.Run(fmt.Sprintf("instances=%d/engines=%d", shape.nodes*4, shape.engines*4), func(b *testing.B) {
@@ -113,10 +115,11 @@
 	}
 }
 
-// controlSpan is the virtual time over which control is measured.
+// controlSpan is the virtual duration of the measurement.
 const controlSpan = 30 * time.Second
 
-// maxControlBytes a second are what the users allow; the aim is half of it.
+// maxControlBytes is the users' limit in bytes per second per instance; the target is
+// half of it.
 const maxControlBytes = 16 << 10
 
 func peerControl(t *testing.T, b *testing.B, nodes, engines int) {
@@ -137,15 +140,16 @@
 	b.ReportMetric((processorTime(t)-cpu).Seconds()/instances/seconds*100, "cpu-%")
 	b.ReportMetric(float64(heap())/instances/(1<<20), "heap-MB")
 	if perSecond > maxControlBytes {
-		t.Errorf("%v bytes a second", perSecond)
+		t.Errorf("%v bytes per second per instance, over the limit", perSecond)
 	}
 }
 
+// platformCalls returns the number of calls to the store so far, including watches.
 func (f *testFleet) platformCalls() int64 {
 	return f.platform.Reads.Load() + f.platform.Writes.Load() + f.platform.Watches.Load()
 }
 
-// heap returns the bytes in use after a collection.
+// heap returns the size of the heap in bytes after a garbage collection.
 func heap() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -153,8 +157,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkTakeover kills one instance of a failure domain and measures what
-// its replacement costs.
+// BenchmarkTakeover stops one instance of a failure domain abruptly and measures the
+// time and the store calls until other instances have taken over its engines.
 func BenchmarkTakeover(b *testing.B) {
 	for b.Loop() {
 		bubble(b, func(t *testing.T) { takeover(t, b) })
@@ -187,16 +191,16 @@
 	b.ReportMetric(float64(ordered), "engines/instance")
 }
 
-// BenchmarkRejoin cuts a failure domain off for an hour and measures the
-// platform calls of the minute after its return, beside a quiet minute.
+// BenchmarkRejoin partitions a failure domain for an hour and compares the store calls
+// in the minute after the partition heals with those of a minute without events.
 func BenchmarkRejoin(b *testing.B) {
 	for b.Loop() {
 		bubble(b, func(t *testing.T) { rejoin(t, b) })
 	}
 }
 
-// maxRejoinRatio bounds the calls of the first minute after a cut against those
-// of a quiet one.
+// maxRejoinRatio is the maximum ratio of the store calls in the first minute after a
+// partition to those of a minute without events.
 const maxRejoinRatio = 3
 
 func rejoin(t *testing.T, b *testing.B) {
@@ -211,13 +215,13 @@
 		return float64(f.platformCalls() - before)
 	}
 	quiet := minute()
-	f.net.setAway("d1", true)
+	f.net.setPartitioned("d1", true)
 	time.Sleep(time.Hour)
-	f.net.setAway("d1", false)
+	f.net.setPartitioned("d1", false)
 	after := minute()
 	b.ReportMetric(quiet, "quiet-calls/min")
 	b.ReportMetric(after, "rejoin-calls/min")
 	if after > maxRejoinRatio*quiet {
-		t.Errorf("%v calls in the minute after the cut, %v in a quiet one", after, quiet)
+		t.Errorf("%v store calls in the minute after the partition, %v in a minute without events", after, quiet)
 	}
 }
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -29,19 +29,20 @@
 	"github.com/martenport/martenport/table"
 )
 
-// Ports are what an instance reaches the outside by.
-type Ports struct {
+// Dependencies are the clients and dial functions through which an instance reaches
+// other systems.
+type Dependencies struct {
 	Store   store.Store
 	Engine  func(declaration.Engine) backend.Engine
 	Service func(address string) backend.Service
 	Peer    rpcpool.Dial
 }
 
-// Core is an entry instance without its listeners: what it knows, decides and
-// does. Tests and benchmarks run many of them in one process.
+// Core is an entry instance without its listeners. Tests and benchmarks run many of
+// them in one process.
 type Core struct {
 	settings settings.Settings
-	store    *watchedStore
+	store    *monitoredStore
 
 	events     *event.Recorder
 	tables     *table.Tables
@@ -58,51 +59,55 @@
 	timeline   *timeline.Collector
 	running    *runningRequests
 	health     *grpchealth.StaticChecker
-	metrics    *instruments
+	metrics    *instanceMetrics
 }
 
-// refusalRetry is told to callers refused for a limit.
-const refusalRetry = time.Second
+// limitRetryAfter is the retry delay returned to callers whose request exceeds a
+// limit.
+const limitRetryAfter = time.Second
 
-// NewCore wires an instance that other instances reach at peerAddress.
-func NewCore(s settings.Settings, ports Ports, peerAddress string, log *logrus.Logger) *Core {
+// NewCore returns an instance that other instances reach at peerAddress. Run starts
+// its background work.
+func NewCore(s settings.Settings, deps Dependencies, peerAddress string, log *logrus.Logger) *Core {
 	clock := &event.Clock{}
 	c := &Core{settings: s, running: newRunningRequests(), events: event.NewRecorder(s.Name, clock, s.Events, log)}
 	c.tables = table.New(table.Member{
 		Name: s.Name, FailureDomain: s.FailureDomain, PeerAddress: peerAddress, Incarnation: time.Now().UnixNano(),
 	})
-	c.store = newWatchedStore(ports.Store, c.events)
-	c.peers = peer.NewClient(s.Name, clock, ports.Peer)
+	c.store = newMonitoredStore(deps.Store, c.events)
+	c.peers = peer.NewClient(s.Name, clock, deps.Peer)
 	gossip := peer.DefaultGossipParams()
 	gossip.Seeds = s.Peers
 	c.gossip = peer.NewGossip(gossip, c.peers, c.tables, c.events)
-	c.wireCommands(ports)
-	c.metrics = newInstruments(c)
+	c.wireCommands(deps)
+	c.metrics = newInstanceMetrics(c)
 	return c
 }
 
-func (c *Core) wireCommands(ports Ports) {
+// wireCommands creates the components that place models, and admit and dispatch
+// requests.
+func (c *Core) wireCommands(deps Dependencies) {
 	s := c.settings
 	env := &orderer.Environment{
 		Instance: s.Name, Identity: orderer.Identity(c.tables.Members.Self()),
 		Store: c.store, Tables: c.tables, Events: c.events, Policy: placement.DefaultPolicy(),
 	}
-	c.orders = orderer.NewManager(env, orderer.Params{Tick: s.Tick, Settle: s.Settle, Workers: s.Workers}, ports.Engine)
+	c.orders = orderer.NewManager(env, orderer.Params{Tick: s.Tick, Settle: s.Settle, Workers: s.Workers}, deps.Engine)
 	c.waker = wake.NewWaker(wake.DefaultParams(), env, c.orders, c.peers)
 	c.gate = admission.NewGate(admission.Params{
-		MaxRequests: s.MaxRequests, MaxPerModel: s.MaxPerModel, MaxPerCaller: s.MaxPerCaller, RetryAfter: refusalRetry,
+		MaxRequests: s.MaxRequests, MaxPerModel: s.MaxPerModel, MaxPerCaller: s.MaxPerCaller, RetryAfter: limitRetryAfter,
 	})
 	balancer := routing.NewBalancer(routing.DefaultParams())
-	c.queue = admission.NewQueue(admission.QueueParams{MaxWaiting: s.MaxPerModel, RetryAfter: refusalRetry, Refuse: true})
-	c.dispatcher = dispatch.New(dispatch.DefaultParams(), c.tables, c.events, balancer, c.queue, c.waker, ports.Engine)
-	c.caller = dispatch.NewCaller(c.dispatcher, ports.Service)
+	c.queue = admission.NewQueue(admission.QueueParams{MaxWaiting: s.MaxPerModel, RetryAfter: limitRetryAfter, Refuse: true})
+	c.dispatcher = dispatch.New(dispatch.DefaultParams(), c.tables, c.events, balancer, c.queue, c.waker, deps.Engine)
+	c.caller = dispatch.NewCaller(c.dispatcher, deps.Service)
 	c.runs = runonce.NewRegistry(runonce.Params{Retention: s.KeyRetention, MaxHeld: s.HeldAnswers}, s.Name, c.store, answerPeers{c})
 	c.intents = intent.New(c.store, c.tables.Config, c.tables.Members.Populated)
 	c.timeline = timeline.NewCollector(c.tables, c.events, c.peers)
 	c.health = grpchealth.NewStaticChecker(martenportv1connect.InferenceServiceName)
 }
 
-// Run does the instance's standing work until ctx ends.
+// Run runs the instance's background work until ctx ends.
 func (c *Core) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	for _, run := range []func(context.Context){c.gossip.Run, c.watch, c.orders.Run, c.waker.Run, c.dispatcher.Run, c.sweep} {
@@ -111,13 +116,14 @@
 	work.Wait()
 }
 
-// ServePeers answers other instances on l until it is closed.
+// ServePeers serves requests of other instances on l until l is closed.
 func (c *Core) ServePeers(l net.Listener) {
 	peer.NewServer(peerHandler{c}, c.events.Clock()).Serve(l)
 }
 
-// Drain makes the instance leave: it refuses new requests, hands its engines
-// over, and returns once what runs is finished or ctx has ended.
+// Drain prepares the instance to stop: it refuses new requests, hands its engines
+// over to other instances, removes its entry from the store, and waits until all
+// running requests have finished or ctx has ended.
 func (c *Core) Drain(ctx context.Context) {
 	c.events.Record(event.Event{Kind: event.KindDrain})
 	c.health.SetStatus(martenportv1connect.InferenceServiceName, grpchealth.StatusNotServing)
--- a/daemon/cpu_test.go
+++ b/daemon/cpu_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// processorTime returns what this process has used so far.
+// processorTime returns the user and system CPU time used by this process so far.
 func processorTime(t testing.TB) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires one entry instance from the packages below it. It is
-// the library behind martenportd and martendev.
+// Package daemon assembles an entry instance from its components. It is used by the
+// programs martenportd and martendev.
 package daemon
 
 import (
@@ -20,18 +20,18 @@
 	"github.com/martenport/martenport/settings"
 )
 
-// Daemon is one entry instance with its listeners.
+// Daemon is an entry instance with its listeners.
 type Daemon struct {
 	*Core
 	transport *http.Transport
 
-	callers, operators, peerListener net.Listener
+	callerListener, operatorListener, peerListener net.Listener
 
 	drainOnce sync.Once
 	drained   chan struct{}
 }
 
-// The timing of platform calls.
+// Parameters of calls to the store.
 const (
 	platformCallTimeout = time.Second
 	platformWatchWait   = 5 * time.Second
@@ -39,7 +39,8 @@
 	platformReadRetries = 2
 )
 
-// New opens the listeners and wires the instance. Run starts it.
+// New opens the listeners and returns the instance. Run starts it. The error is that
+// of settings.Check or of a listener.
 func New(s settings.Settings, log *logrus.Logger) (*Daemon, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -56,28 +57,29 @@
 	if peerAddress == "" {
 		peerAddress = d.peerListener.Addr().String()
 	}
-	d.Core = NewCore(s, Ports{Store: client, Engine: d.dialEngine, Service: d.dialService, Peer: rpcpool.DialTCP}, peerAddress, log)
+	d.Core = NewCore(s, Dependencies{Store: client, Engine: d.dialEngine, Service: d.dialService, Peer: rpcpool.DialTCP}, peerAddress, log)
 	d.metrics.addPlatform(client.Calls())
 	return d, nil
 }
 
+// listen opens all listeners, or none if one of them fails.
 func (d *Daemon) listen(s settings.Settings) error {
 	for _, l := range []struct {
 		address string
-		to      *net.Listener
-	}{{s.Listen, &d.callers}, {s.OperatorListen, &d.operators}, {s.PeerListen, &d.peerListener}} {
+		target  *net.Listener
+	}{{s.Listen, &d.callerListener}, {s.OperatorListen, &d.operatorListener}, {s.PeerListen, &d.peerListener}} {
 		listener, err := net.Listen("tcp", l.address)
 		if err != nil {
 			d.closeListeners()
 			return errors.Wrapf(err, "listen on %s", l.address)
 		}
-		*l.to = listener
+		*l.target = listener
 	}
 	return nil
 }
 
 func (d *Daemon) closeListeners() {
-	for _, l := range []net.Listener{d.callers, d.operators, d.peerListener} {
+	for _, l := range []net.Listener{d.callerListener, d.operatorListener, d.peerListener} {
 		if l != nil {
 			_ = l.Close()
 		}
@@ -92,24 +94,25 @@
 	return backend.NewHTTP("http://"+address, &http.Client{Transport: d.transport}, "")
 }
 
-// CallerAddress is where callers reach the instance.
-func (d *Daemon) CallerAddress() string { return d.callers.Addr().String() }
+// CallerAddress returns the address at which callers reach the instance.
+func (d *Daemon) CallerAddress() string { return d.callerListener.Addr().String() }
 
-// OperatorAddress is where operators reach the instance.
-func (d *Daemon) OperatorAddress() string { return d.operators.Addr().String() }
+// OperatorAddress returns the address at which operators reach the instance.
+func (d *Daemon) OperatorAddress() string { return d.operatorListener.Addr().String() }
 
-// PeerAddress is where other instances reach the instance.
+// PeerAddress returns the address at which other instances reach the instance.
 func (d *Daemon) PeerAddress() string { return d.tables.Members.Self().PeerAddress }
 
-// readHeaderTimeout bounds how long a client may take to send its headers, and
-// maxHeaderBytes how many.
+// readHeaderTimeout limits the time that a client may take to send its headers, and
+// maxHeaderBytes their size.
 const (
 	readHeaderTimeout = 10 * time.Second
 	maxHeaderBytes    = 64 << 10
 )
 
-// Run serves until ctx ends, then drains and returns. A second end comes from
-// the drain limit.
+// Run serves until ctx ends, Drain is called or a listener fails, then drains and
+// returns. Draining takes at most settings.DrainLimit. The error is that of the
+// failed listener.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.events.Record(event.Event{Kind: event.KindStart, Detail: "callers=" + d.CallerAddress() + " operators=" + d.OperatorAddress() + " peers=" + d.PeerAddress()})
 	background, stop := context.WithCancel(context.Background())
@@ -118,8 +121,8 @@
 	go d.ServePeers(d.peerListener)
 	callers, operators := d.server(d.callerHandler()), d.server(d.operatorHandler())
 	failed := make(chan error, 2)
-	go func() { failed <- d.serve(callers, d.callers) }()
-	go func() { failed <- d.serve(operators, d.operators) }()
+	go func() { failed <- d.serve(callers, d.callerListener) }()
+	go func() { failed <- d.serve(operators, d.operatorListener) }()
 	var err error
 	select {
 	case <-ctx.Done():
@@ -150,9 +153,12 @@
 	return server.Serve(l)
 }
 
-// shutdownTimeout is for answers to leave after the last request has ended.
+// shutdownTimeout limits the time to send the remaining answers after the last
+// request has ended.
 const shutdownTimeout = 5 * time.Second
 
+// shutdown stops the servers and closes the connections to peers and backend
+// servers.
 func (d *Daemon) shutdown(servers ...*http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -164,8 +170,8 @@
 	d.transport.CloseIdleConnections()
 }
 
-// Drain makes the instance leave and ends Run once what runs is finished or
-// the drain limit has passed. It returns at once.
+// Drain starts to drain the instance and returns immediately. Run returns when all
+// running requests have finished or the drain limit has passed.
 func (d *Daemon) Drain() {
 	d.drainOnce.Do(func() { go d.drain() })
 }
--- a/daemon/dispatch_bench_test.go
+++ b/daemon/dispatch_bench_test.go
@@ -17,13 +17,13 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// wired is one instance over real sockets before one engine.
-type wired struct {
+// socketFleet is one instance in front of one engine, connected over real sockets.
+type socketFleet struct {
 	engine *backend.HTTP
 	client martenportv1connect.InferenceServiceClient
 }
 
-func newWired(b *testing.B) wired {
+func newSocketFleet(b *testing.B) socketFleet {
 	b.Helper()
 	platformServer := httptest.NewServer(standin.NewPlatform().Handler())
 	b.Cleanup(platformServer.Close)
@@ -35,7 +35,7 @@
 	s := testSettings("i", "d0")
 	s.PlatformURL, s.Tick, s.Settle = platformServer.URL, 100*time.Millisecond, 0
 	d := runDaemon(b, s)
-	w := wired{
+	w := socketFleet{
 		engine: backend.NewHTTP(engineServer.URL, &http.Client{Transport: backend.NewTransport()}, ""),
 		client: martenportv1connect.NewInferenceServiceClient(&http.Client{Transport: backend.NewTransport()}, "http://"+d.CallerAddress()),
 	}
@@ -43,7 +43,8 @@
 	return w
 }
 
-func (w wired) declare(b *testing.B, d *Daemon, engine net.Addr) {
+// declare accepts a declaration with the engine and waits until the model is served.
+func (w socketFleet) declare(b *testing.B, d *Daemon, engine net.Addr) {
 	b.Helper()
 	source := []byte(`failureDomains: [d0]
 tailWeight: 1
@@ -60,19 +61,19 @@
 		b.Fatal(err)
 	}
 	for range 200 {
-		if w.through(b.Context(), 1) == nil {
+		if w.sendThroughInstance(b.Context(), 1) == nil {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	b.Fatal("the model was not served")
+	b.Fatal("model not served after 200 attempts")
 }
 
-// benchPrompt is a kilobyte.
+// benchPrompt is 1 KiB long.
 var benchPrompt = strings.Repeat("wedding ", 128)
 
-// through sends one request through the instance, streaming the answer.
-func (w wired) through(ctx context.Context, tokens int) error {
+// sendThroughInstance sends one request through the instance and streams the answer.
+func (w socketFleet) sendThroughInstance(ctx context.Context, tokens int) error {
 	stream, err := w.client.GenerateStream(ctx, connect.NewRequest(&martenportv1.GenerateRequest{
 		Model: "caption", Prompt: benchPrompt, MaxTokens: int32(tokens), Idempotent: true,
 	}))
@@ -85,8 +86,8 @@
 	return stream.Err()
 }
 
-// direct sends one request to the engine.
-func (w wired) direct(ctx context.Context, id string, tokens int) error {
+// sendDirect sends one request directly to the engine.
+func (w socketFleet) sendDirect(ctx context.Context, id string, tokens int) error {
 	s, err := w.engine.Generate(ctx, backend.Attempt{
 		Unit: backend.Unit{Model: "caption", Version: "1"}, ID: id, Prompt: benchPrompt, MaxTokens: tokens,
 	})
@@ -102,22 +103,23 @@
 	}
 }
 
-// BenchmarkDispatch compares a request through the instance with one sent to
-// the engine directly; processor time is of the whole process, engine and
-// client included, so that the difference is what the instance adds.
+// BenchmarkDispatch compares a request sent through the instance with one sent
+// directly to the engine. CPU time is that of the whole process, including the engine
+// and the client, so the difference is the overhead of the instance.
 func BenchmarkDispatch(b *testing.B) {
-	w := newWired(b)
+	w := newSocketFleet(b)
 	for _, tokens := range []int{1, 256} {
 		name := map[int]string{1: "tokens=1", 256: "tokens=256"}[tokens]
 		b.Run(name+"/direct", func(b *testing.B) {
-			measure(b, func(id string) error { return w.direct(b.Context(), id, tokens) })
+			measure(b, func(id string) error { return w.sendDirect(b.Context(), id, tokens) })
 		})
 		b.Run(name+"/through", func(b *testing.B) {
-			measure(b, func(string) error { return w.through(b.Context(), tokens) })
+			measure(b, func(string) error { return w.sendThroughInstance(b.Context(), tokens) })
 		})
 	}
 }
 
+// measure runs the benchmark loop and reports the CPU time per operation.
 func measure(b *testing.B, run func(id string) error) {
 	b.ReportAllocs()
 	before := processorTime(b)
--- a/daemon/fleet_test.go
+++ b/daemon/fleet_test.go
@@ -20,7 +20,7 @@
 	"github.com/martenport/martenport/settings"
 )
 
-// node is one instance of a test fleet.
+// node is one instance in a test fleet.
 type node struct {
 	*Core
 	domain string
@@ -28,8 +28,7 @@
 	peers  *listener
 }
 
-// testFleet is instances, engines and the platform in one process, in virtual
-// time.
+// testFleet runs instances, engines and the store in one process and in virtual time.
 type testFleet struct {
 	t        *testing.T
 	net      *network
@@ -47,11 +46,11 @@
 	domains, nodesPerDomain, enginesPerDomain int
 	// models is the YAML list of models.
 	models string
-	// tailWeight of the declaration.
+	// tailWeight is the declared tail weight.
 	tailWeight float64
 }
 
-// newTestFleet starts a fleet and waits until its engines have orderers.
+// newTestFleet starts a fleet and waits until all engines have an orderer.
 func newTestFleet(t *testing.T, shape fleetShape) *testFleet {
 	f := &testFleet{t: t, net: newNetwork(), platform: standin.NewPlatform(), engines: map[string]*standin.Engine{}}
 	f.weights = standin.NewWeightStore(3, 4)
@@ -80,7 +79,7 @@
 	return f
 }
 
-// testSettings returns the settings of an instance in tests, with free ports.
+// testSettings returns settings for an instance in tests. It listens on free ports.
 func testSettings(name, domain string) settings.Settings {
 	return settings.Settings{
 		Name: name, FailureDomain: domain, Listen: "127.0.0.1:0", OperatorListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
@@ -90,7 +89,7 @@
 	}
 }
 
-// runDaemon runs an instance with its listeners until the test ends.
+// runDaemon starts an instance with its listeners and stops it when the test ends.
 func runDaemon(t testing.TB, s settings.Settings) *Daemon {
 	t.Helper()
 	log := logrus.New()
@@ -112,31 +111,31 @@
 	return d
 }
 
-// start runs one more instance.
+// start adds an instance to the fleet and runs it.
 func (f *testFleet) start(name, domain string) *node {
 	s := testSettings(name, domain)
 	if len(f.nodes) > 0 {
 		s.Peers = []string{f.nodes[0].PeerAddress()}
 	}
 	address := name + ":1"
-	ports := Ports{
-		Store: cutStore{f.platform, f.net, domain}, Peer: f.net.dial(domain),
+	deps := Dependencies{
+		Store: partitionableStore{f.platform, f.net, domain}, Peer: f.net.dial(domain),
 		Engine: func(e declaration.Engine) backend.Engine {
-			return cutEngine{f.engines[e.Name], f.net, e.Name, domain, e.FailureDomain}
+			return partitionableEngine{f.engines[e.Name], f.net, e.Name, domain, e.FailureDomain}
 		},
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	n := &node{Core: NewCore(s, ports, address, nil), domain: domain, stop: stop, peers: f.net.listen(address, domain)}
+	n := &node{Core: NewCore(s, deps, address, nil), domain: domain, stop: stop, peers: f.net.listen(address, domain)}
 	f.nodes = append(f.nodes, n)
 	f.running.Go(func() { n.Run(ctx) })
 	f.running.Go(func() { n.ServePeers(n.peers) })
 	return n
 }
 
-// PeerAddress is where other instances reach the node.
+// PeerAddress returns the address at which other instances reach the node.
 func (n *node) PeerAddress() string { return n.tables.Members.Self().PeerAddress }
 
-// kill ends an instance at once.
+// kill stops an instance abruptly and closes its connections.
 func (f *testFleet) kill(n *node) {
 	n.stop()
 	_ = n.peers.Close()
@@ -151,6 +150,7 @@
 	}
 }
 
+// close stops all instances and engines.
 func (f *testFleet) close() {
 	for _, n := range f.nodes {
 		f.kill(n)
@@ -160,10 +160,10 @@
 	for _, e := range f.engines {
 		e.Restart()
 	}
-	time.Sleep(time.Minute) // for calls under way to end
+	time.Sleep(time.Minute) // let calls in progress end
 }
 
-// accept plans and confirms the fleet's declaration with these models.
+// accept plans and confirms the fleet's declaration with the given models.
 func (f *testFleet) accept(n *node, models string) {
 	f.t.Helper()
 	if err := f.tryAccept(n, models); err != nil {
@@ -184,19 +184,21 @@
 	return err
 }
 
-// awaitUntil waits in virtual time until the condition holds.
+// awaitUntil waits until the condition holds, at most limit, and returns the virtual
+// time that it took.
 func (f *testFleet) awaitUntil(what string, limit time.Duration, condition func() bool) time.Duration {
 	f.t.Helper()
 	start := time.Now()
 	for !condition() {
 		if time.Since(start) > limit {
-			f.t.Fatalf("not reached within %v: %s", limit, what)
+			f.t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(start)
 }
 
+// awaitOrderers waits until every instance knows the orderer of every engine.
 func (f *testFleet) awaitOrderers() {
 	f.t.Helper()
 	f.awaitUntil("every instance knows every engine's orderer", 2*time.Minute, func() bool {
@@ -215,7 +217,7 @@
 	})
 }
 
-// generate sends a request to a node as a caller would.
+// generate sends a request for 4 tokens to the node.
 func (n *node) generate(model, prompt string, timeout time.Duration) (*martenportv1.GenerateResponse, error) {
 	return n.generateAs(&martenportv1.GenerateRequest{
 		Model: model, Prompt: prompt, MaxTokens: 4, TimeoutMs: timeout.Milliseconds(), Idempotent: true,
@@ -226,6 +228,7 @@
 	return n.Generate(context.Background(), req)
 }
 
+// loads returns the number of loads over all engines.
 func (f *testFleet) loads() int {
 	n := 0
 	for _, e := range f.engines {
@@ -234,6 +237,7 @@
 	return n
 }
 
+// replicas returns the number of engines that hold the model.
 func (f *testFleet) replicas(model string) int {
 	n := 0
 	for _, e := range f.engines {
@@ -244,17 +248,18 @@
 	return n
 }
 
-// checkCounts fails the test unless every accepted request has one end.
+// checkCounts fails the test unless every accepted request has exactly one outcome
+// and none is running.
 func (f *testFleet) checkCounts() {
 	f.t.Helper()
 	for _, n := range f.nodes {
 		if c := n.gate.Counts(); c.Accepted != c.Sum() || c.Running != 0 {
-			f.t.Errorf("%s: %+v", n.settings.Name, c)
+			f.t.Errorf("counts at %s: %+v, want none running and Accepted the sum of the others", n.settings.Name, c)
 		}
 	}
 }
 
-// trace returns the newest events of a model over all nodes.
+// trace formats the kept events of all nodes that match the filter.
 func (f *testFleet) trace(filter event.Filter) string {
 	var b strings.Builder
 	for _, n := range f.nodes {
@@ -265,7 +270,7 @@
 	return b.String()
 }
 
-// bubble runs f in virtual time from a benchmark.
+// bubble runs f in virtual time (a synctest bubble) from a benchmark.
 func bubble(b *testing.B, f func(t *testing.T)) {
 	b.Helper()
 	ok := testing.RunTests(func(string, string) (bool, error) { return true, nil }, []testing.InternalTest{{
--- a/daemon/inference.go
+++ b/daemon/inference.go
@@ -17,11 +17,11 @@
 	"github.com/martenport/martenport/verdict/rpcerror"
 )
 
-// compressMinBytes keeps single tokens, which are smaller, from being
-// compressed one by one.
+// compressMinBytes is the minimum size of a compressed message. It excludes messages
+// with a single token, for which compression does not pay.
 const compressMinBytes = 4096
 
-// callerHandler serves callers.
+// callerHandler returns the handler of the callers' API and of health checks.
 func (c *Core) callerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(martenportv1connect.NewInferenceServiceHandler(inference{c},
@@ -31,7 +31,7 @@
 	return mux
 }
 
-// inference implements the callers' interface.
+// inference implements the callers' API.
 type inference struct{ c *Core }
 
 // Generate implements martenportv1connect.InferenceServiceHandler.
@@ -43,7 +43,8 @@
 	return connect.NewResponse(answer), nil
 }
 
-// Generate answers or refuses one request. The error is a *verdict.Failure.
+// Generate runs one request and returns its answer. The error is a
+// *verdict.Failure.
 func (c *Core) Generate(ctx context.Context, req *martenportv1.GenerateRequest) (*martenportv1.GenerateResponse, error) {
 	j, err := c.generateJob(req)
 	if err != nil {
@@ -51,7 +52,7 @@
 	}
 	var out *martenportv1.GenerateResponse
 	answer, err := c.run(ctx, j, func(ctx context.Context) ([]byte, error) {
-		sink := &collector{}
+		sink := &bufferSink{}
 		result, err := c.dispatcher.Generate(ctx, dispatchRequest(j.id, req), sink)
 		if err != nil {
 			return nil, err
@@ -59,8 +60,8 @@
 		out = &martenportv1.GenerateResponse{
 			RequestId: j.id, Text: sink.text.String(), Tokens: int32(result.Tokens), Engine: result.Engine, Cold: result.Cold,
 		}
-		if j.key == "" {
-			return nil, nil // nobody can ask for it again
+		if j.runKey == "" {
+			return nil, nil // without a key, the answer cannot be requested again
 		}
 		return proto.Marshal(out)
 	})
@@ -78,14 +79,14 @@
 }
 
 // GenerateStream implements martenportv1connect.InferenceServiceHandler. A
-// repeated key is answered by the whole text in one message.
+// repeated key is answered with the complete text in one message.
 func (i inference) GenerateStream(ctx context.Context, msg *connect.Request[martenportv1.GenerateRequest], stream *connect.ServerStream[martenportv1.GenerateStreamResponse]) error {
 	req := msg.Msg
 	j, err := i.c.generateJob(req)
 	if err != nil {
 		return rpcerror.New(i.c.refuse(req.Model, err))
 	}
-	sink := &sender{id: j.id, stream: stream, keep: j.key != ""}
+	sink := &streamSink{id: j.id, stream: stream, keepText: j.runKey != ""}
 	answer, err := i.c.run(ctx, j, func(ctx context.Context) ([]byte, error) {
 		if _, err := i.c.dispatcher.Generate(ctx, dispatchRequest(j.id, req), sink); err != nil {
 			return nil, err
@@ -116,52 +117,52 @@
 
 // Cancel implements martenportv1connect.InferenceServiceHandler.
 func (i inference) Cancel(_ context.Context, msg *connect.Request[martenportv1.CancelRequest]) (*connect.Response[martenportv1.CancelResponse], error) {
-	found := i.c.running.stop(msg.Msg.RequestId, msg.Msg.Caller, msg.Msg.Key)
+	found := i.c.running.cancelRequest(msg.Msg.RequestId, msg.Msg.Caller, msg.Msg.Key)
 	return connect.NewResponse(&martenportv1.CancelResponse{Found: found}), nil
 }
 
-// collector is a sink that keeps the whole answer.
-type collector struct{ text strings.Builder }
+// bufferSink is a sink that buffers the complete answer.
+type bufferSink struct{ text strings.Builder }
 
 // Token implements dispatch.Sink.
-func (c *collector) Token(t backend.Token) error {
+func (c *bufferSink) Token(t backend.Token) error {
 	c.text.WriteString(t.Text)
 	return nil
 }
 
 // Restart implements dispatch.Sink.
-func (c *collector) Restart() bool {
+func (c *bufferSink) Restart() bool {
 	c.text.Reset()
 	return true
 }
 
-// sender is a sink that sends tokens on at once. It waits for a slow caller,
-// so that what is kept for it is bounded.
-type sender struct {
+// streamSink is a sink that sends each token to the caller immediately. It blocks on
+// a slow caller, so that the memory used for buffered tokens is bounded.
+type streamSink struct {
 	id     string
 	stream *connect.ServerStream[martenportv1.GenerateStreamResponse]
 	next   int64
-	// keep says that the whole text is wanted for repeats of the key.
-	keep bool
-	text strings.Builder
+	// keepText is set if the complete text is needed to answer repeats of the key.
+	keepText bool
+	text     strings.Builder
 }
 
 // Token implements dispatch.Sink.
-func (s *sender) Token(t backend.Token) error {
+func (s *streamSink) Token(t backend.Token) error {
 	err := s.stream.Send(&martenportv1.GenerateStreamResponse{RequestId: s.id, Sequence: s.next, Text: t.Text})
 	s.next++
-	if s.keep {
+	if s.keepText {
 		s.text.WriteString(t.Text)
 	}
 	return err
 }
 
-// Restart implements dispatch.Sink: what was sent cannot be taken back.
-func (s *sender) Restart() bool { return s.next == 0 }
+// Restart implements dispatch.Sink. Tokens that have been sent cannot be discarded.
+func (s *streamSink) Restart() bool { return s.next == 0 }
 
-// finish sends what was not sent yet, which is all of a repeated key's answer,
-// and the end.
-func (s *sender) finish(answer string) error {
+// finish sends the end message. If no token was sent, as for a repeated key, it sends
+// the complete answer first.
+func (s *streamSink) finish(answer string) error {
 	if s.next == 0 && answer != "" {
 		if err := s.Token(backend.Token{Text: answer}); err != nil {
 			return err
--- a/daemon/jobs.go
+++ b/daemon/jobs.go
@@ -16,27 +16,31 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// The limits of request fields that are not settings.
+// Limits of request fields, not configurable. frameOverhead is added to the maximum
+// prompt size for the other fields of a message.
 const (
 	maxNameBytes  = 256
 	maxPriority   = 9
 	frameOverhead = 4096
 )
 
-// defaultTokens is taken where a request does not say how many tokens it wants.
+// defaultTokens is the maximum number of tokens of a request that does not set one.
 const defaultTokens = 256
 
-// job is one accepted request on its way.
+// job is one validated request.
 type job struct {
 	id, model, caller string
-	// givenKey is the key as the caller gave it, to cancel by.
-	givenKey     string
-	key, content string // for requests that run at most once
-	deadline     time.Duration
-	modelLimit   int
+	// rawKey is the key as sent by the caller; the request can be cancelled by it.
+	rawKey string
+	// runKey is the name of the key in the run registry, and fingerprint the hash of
+	// the request's content. Both are set only for requests that must run at most once.
+	runKey, fingerprint string
+	deadline            time.Duration
+	modelLimit          int
 }
 
-// generateJob checks a request and works out how it is run.
+// generateJob validates an inference request and returns its job. It sets
+// req.MaxTokens to defaultTokens if it is 0. The error is a *verdict.Failure.
 func (c *Core) generateJob(req *martenportv1.GenerateRequest) (job, error) {
 	s := c.settings
 	if err := checkNames(req.Model, req.Adapter, req.Key, req.Session, req.Caller); err != nil {
@@ -63,13 +67,15 @@
 	if req.MaxTokens == 0 {
 		req.MaxTokens = defaultTokens
 	}
-	j := job{id: uuid.NewString(), model: req.Model, caller: req.Caller, givenKey: req.Key, deadline: deadline, modelLimit: model.QueueLimit}
+	j := job{id: uuid.NewString(), model: req.Model, caller: req.Caller, rawKey: req.Key, deadline: deadline, modelLimit: model.QueueLimit}
 	if !req.Idempotent {
-		j.atMostOnce(req.Model, req.Adapter, strconv.Itoa(int(req.MaxTokens)), req.Prompt)
+		j.requireAtMostOnce(req.Model, req.Adapter, strconv.Itoa(int(req.MaxTokens)), req.Prompt)
 	}
 	return j, nil
 }
 
+// callJob validates a call to a plain service and returns its job. The error is a
+// *verdict.Failure.
 func (c *Core) callJob(req *martenportv1.CallRequest) (job, error) {
 	if err := checkNames(req.Service, req.Method, req.Key, req.Caller); err != nil {
 		return job{}, err
@@ -85,23 +91,25 @@
 	if err != nil {
 		return job{}, err
 	}
-	j := job{id: uuid.NewString(), model: req.Service, caller: req.Caller, givenKey: req.Key, deadline: deadline}
+	j := job{id: uuid.NewString(), model: req.Service, caller: req.Caller, rawKey: req.Key, deadline: deadline}
 	if !method.Idempotent {
-		j.atMostOnce(req.Service, req.Method, string(req.Body))
+		j.requireAtMostOnce(req.Service, req.Method, string(req.Body))
 	}
 	return j, nil
 }
 
-// atMostOnce has the job run at most once for its key, if it has one. content
-// is what a repeat must have in common; only the last part may hold anything.
-func (j *job) atMostOnce(content ...string) {
-	if j.givenKey == "" {
+// requireAtMostOnce makes the job run at most once for its key, if it has one. A
+// repeat must have the same content; the parts of content are joined with NUL bytes,
+// so only the last part may contain arbitrary bytes.
+func (j *job) requireAtMostOnce(content ...string) {
+	if j.rawKey == "" {
 		return
 	}
-	j.key = runonce.Key(j.caller, j.givenKey)
-	j.content = runonce.Fingerprint([]byte(strings.Join(content, "\x00")))
+	j.runKey = runonce.Key(j.caller, j.rawKey)
+	j.fingerprint = runonce.Fingerprint([]byte(strings.Join(content, "\x00")))
 }
 
+// checkNames refuses names, keys and sessions longer than maxNameBytes.
 func checkNames(names ...string) error {
 	for _, n := range names {
 		if len(n) > maxNameBytes {
@@ -111,7 +119,8 @@
 	return nil
 }
 
-// deadline returns the time that the request allows, or the declared one.
+// deadline returns the time limit of a request: timeoutMS, or the declared one if
+// timeoutMS is 0.
 func (c *Core) deadline(timeoutMS int64, declared time.Duration) (time.Duration, error) {
 	if timeoutMS < 0 || timeoutMS > c.settings.MaxTimeout.Milliseconds() {
 		return 0, verdict.Refuse(verdict.ReasonInvalid, "timeout_ms %d is not from 0 to %d", timeoutMS, c.settings.MaxTimeout.Milliseconds())
@@ -130,48 +139,50 @@
 	}
 }
 
-// refuse counts and records a request that was refused before its way began,
+// refuse counts and records a request that was refused as invalid before admission,
 // and returns err.
 func (c *Core) refuse(model string, err error) error {
 	c.gate.Reject()
-	c.events.Record(event.Event{Kind: event.KindRefuse, Model: limitName(model), Detail: err.Error()})
+	c.events.Record(event.Event{Kind: event.KindRefuse, Model: truncateName(model), Detail: err.Error()})
 	return err
 }
 
-func limitName(name string) string {
+// truncateName limits a name that has not been validated to maxNameBytes.
+func truncateName(name string) string {
 	return name[:min(len(name), maxNameBytes)]
 }
 
-// run takes a job through admission, the account of keys, and work, and
-// records how it ended.
+// run admits a job, calls work, at most once for the job's key, and records the
+// outcome. The error is a *verdict.Failure.
 func (c *Core) run(ctx context.Context, j job, work func(context.Context) ([]byte, error)) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, j.deadline)
 	defer cancel()
 	start := time.Now()
 	ticket, err := c.gate.Admit(j.model, j.caller, j.modelLimit)
 	if err != nil {
-		c.end(j, start, err)
+		c.recordEnd(j, start, err)
 		return nil, err
 	}
-	ctx, ended := c.running.start(ctx, j.id, j.caller, j.givenKey)
+	ctx, ended := c.running.add(ctx, j.id, j.caller, j.rawKey)
 	defer ended()
 	c.events.Record(event.Event{Kind: event.KindAccept, Request: j.id, Model: j.model})
-	answer, err := c.once(ctx, j, work)
+	answer, err := c.runOnce(ctx, j, work)
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
 		f := verdict.Of(err)
 		err = verdict.New(f.Verdict, verdict.ReasonCancelled, "the caller cancelled or left: %s", f.Detail)
 	}
 	ticket.Done(err)
-	c.end(j, start, err)
+	c.recordEnd(j, start, err)
 	return answer, err
 }
 
-// once runs work, at most once for the job's key if it has one.
-func (c *Core) once(ctx context.Context, j job, work func(context.Context) ([]byte, error)) ([]byte, error) {
-	if j.key == "" {
+// runOnce calls work. If the job has a key, work is called at most once for it, and
+// repeats return the answer of the first run.
+func (c *Core) runOnce(ctx context.Context, j job, work func(context.Context) ([]byte, error)) ([]byte, error) {
+	if j.runKey == "" {
 		return work(ctx)
 	}
-	run, answer, err := c.runs.Begin(ctx, j.key, j.content)
+	run, answer, err := c.runs.Begin(ctx, j.runKey, j.fingerprint)
 	if run == nil {
 		return answer, err
 	}
@@ -180,7 +191,8 @@
 	return answer, err
 }
 
-func (c *Core) end(j job, start time.Time, err error) {
+// recordEnd records the event and the duration of a finished request.
+func (c *Core) recordEnd(j job, start time.Time, err error) {
 	e := event.Event{Kind: event.KindAnswer, Request: j.id, Model: j.model}
 	if err != nil {
 		f := verdict.Of(err)
--- a/daemon/limits_test.go
+++ b/daemon/limits_test.go
@@ -19,13 +19,13 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// newCore returns an instance that reaches nothing but a platform, with a
-// declared model.
+// newCore returns an instance with one declared model that is connected to a store
+// only.
 func newCore(t testing.TB) *Core {
 	t.Helper()
 	s := testSettings("i", "d0")
 	s.MaxPromptBytes, s.MaxTokens, s.MaxTimeout, s.OperatorCredential = 1000, 100, time.Hour, "secret"
-	c := NewCore(s, Ports{Store: standin.NewPlatform()}, "i:1", nil)
+	c := NewCore(s, Dependencies{Store: standin.NewPlatform()}, "i:1", nil)
 	accepted := &table.Accepted{Generation: 1}
 	source := "failureDomains: [d0]\nweightStore: {startsPerSecond: 3, streams: 4}\nengines:\n" +
 		"  - {name: e, failureDomain: d0, address: \"e:1\", memory: 80GiB, fencing: true}\nmodels:\n" + oneReplica
@@ -39,9 +39,9 @@
 	return c
 }
 
-// TestHostileRequests: what breaks a limit is refused as NotRun, is counted,
-// and leaves nothing behind.
-func TestHostileRequests(t *testing.T) {
+// TestInvalidRequests checks that requests which exceed a limit, or cannot be served,
+// are refused with NotRun, are counted, and leave no entry among running requests.
+func TestInvalidRequests(t *testing.T) {
 	c := newCore(t)
 	long := strings.Repeat("x", 2000)
 	for name, req := range map[string]*martenportv1.GenerateRequest{
@@ -61,20 +61,20 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := c.Generate(t.Context(), req)
 			if f := verdict.Of(err); err == nil || f.Verdict != verdict.NotRun {
-				t.Errorf("%v", err)
+				t.Errorf("%v, want verdict NotRun", err)
 			}
 		})
 	}
 	if n := c.gate.Counts(); n.Accepted != n.Sum() || n.Running != 0 || n.Refused != n.Accepted {
-		t.Errorf("%+v", n)
+		t.Errorf("counts %+v, want all requests refused", n)
 	}
 	if ids := c.running.ids(); len(ids) > 0 {
-		t.Errorf("left behind: %v", ids)
+		t.Errorf("requests still registered as running: %v", ids)
 	}
 }
 
-// TestOperatorCredential: without it nothing of the operators' interface
-// answers, and a message beyond the limit is refused.
+// TestOperatorCredential checks that the operators' API requires the credential, and
+// refuses messages above the size limit.
 func TestOperatorCredential(t *testing.T) {
 	server := httptest.NewServer(newCoreDaemon(t).operatorHandler())
 	defer server.Close()
@@ -82,12 +82,12 @@
 		client := martenportv1connect.NewOperatorServiceClient(http.DefaultClient, server.URL, connect.WithInterceptors(bearer(given)))
 		_, err := client.GetStatus(t.Context(), connect.NewRequest(&martenportv1.GetStatusRequest{}))
 		if (err == nil) != (given == "secret") {
-			t.Errorf("credential %q: %v", given, err)
+			t.Errorf("status with credential %q: %v", given, err)
 		}
 		_, err = client.Plan(t.Context(), connect.NewRequest(&martenportv1.PlanRequest{Declaration: make([]byte, operators.MaxMessageBytes+1)}))
 		var refused *connect.Error
 		if !errors.As(err, &refused) {
-			t.Errorf("credential %q: an oversized plan: %v", given, err)
+			t.Errorf("oversized plan with credential %q: %v, want a refusal", given, err)
 		}
 	}
 }
@@ -103,7 +103,8 @@
 	}
 }
 
-// FuzzGenerateRequest: no field makes a request be taken in outside the limits.
+// FuzzGenerateRequest checks that no combination of fields lets a request outside the
+// limits be accepted.
 func FuzzGenerateRequest(f *testing.F) {
 	c := newCore(f)
 	f.Add("caption", "prompt", "key", int32(1), int64(1000), int32(1))
@@ -112,12 +113,12 @@
 		j, err := c.generateJob(req)
 		if err != nil {
 			if verdict.Of(err).Verdict != verdict.NotRun {
-				t.Errorf("%v", err)
+				t.Errorf("%v, want verdict NotRun", err)
 			}
 			return
 		}
 		if j.deadline <= 0 || j.deadline > c.settings.MaxTimeout || len(prompt) > c.settings.MaxPromptBytes || req.MaxTokens > 100 || len(key) > maxNameBytes {
-			t.Errorf("taken in: %+v", j)
+			t.Errorf("request outside the limits accepted: %+v", j)
 		}
 	})
 }
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -10,15 +10,15 @@
 	"github.com/martenport/martenport/platform"
 )
 
-// instruments are the metrics of one instance; docs/OPERATIONS.md lists them.
-type instruments struct {
+// instanceMetrics are the metrics of one instance; docs/OPERATIONS.md lists them.
+type instanceMetrics struct {
 	set            *metrics.Set
 	requestSeconds *metrics.Histogram
 }
 
-func newInstruments(c *Core) *instruments {
+func newInstanceMetrics(c *Core) *instanceMetrics {
 	set := metrics.NewSet()
-	m := &instruments{set: set, requestSeconds: set.NewHistogram("martenport_request_seconds")}
+	m := &instanceMetrics{set: set, requestSeconds: set.NewHistogram("martenport_request_seconds")}
 	for end, read := range map[string]func(admission.Counts) int64{
 		"accepted":  func(c admission.Counts) int64 { return c.Accepted },
 		"answered":  func(c admission.Counts) int64 { return c.Answered },
@@ -36,8 +36,8 @@
 	return m
 }
 
-// addPlatform adds the counts of calls to the platform.
-func (m *instruments) addPlatform(calls *platform.Calls) {
+// addPlatform adds the numbers of calls to the store.
+func (m *instanceMetrics) addPlatform(calls *platform.Calls) {
 	for kind, count := range map[string]*atomic.Int64{
 		"read": &calls.Reads, "write": &calls.Writes, "watch": &calls.Watches, "failed": &calls.Failures,
 	} {
@@ -45,7 +45,8 @@
 	}
 }
 
-func (m *instruments) serve(w http.ResponseWriter, _ *http.Request) {
+// serve writes all metrics of the instance and the process.
+func (m *instanceMetrics) serve(w http.ResponseWriter, _ *http.Request) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
--- a/daemon/network_test.go
+++ b/daemon/network_test.go
@@ -14,14 +14,14 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// network is loopback in memory, which virtual time can wait on. It can cut
-// failure domains off from each other and from the platform.
+// network is an in-memory network that works in virtual time. It can partition failure
+// domains, single engines and the store from each other.
 type network struct {
-	bytes atomic.Int64 // written by all instances
+	bytes atomic.Int64 // number of bytes written by all instances
 
 	mu        sync.Mutex
 	listeners map[string]*listener // guarded by mu; by address
-	away      map[string]bool      // guarded by mu; domains that are cut off
+	isolated  map[string]bool      // guarded by mu; partitioned failure domains and engines
 	conns     []*conn              // guarded by mu
 }
 
@@ -49,19 +49,19 @@
 
 func (l *listener) Addr() net.Addr { return &net.UnixAddr{Name: l.address} }
 
-// conn is one direction's end of a connection. Once it has lost a write to a
-// cut it stays silent, as a real one would until its timeouts.
+// conn is one end of a connection. Once a write was lost in a partition, all later
+// writes are dropped too, as on a TCP connection until its time-outs.
 type conn struct {
 	net.Conn
 	net      *network
 	from, to string
-	address  string // of the instance that was dialled
-	dead     atomic.Bool
+	address  string // address of the dialled instance
+	broken   atomic.Bool
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if c.dead.Load() || c.net.cut(c.from, c.to) {
-		c.dead.Store(true)
+	if c.broken.Load() || c.net.partitioned(c.from, c.to) {
+		c.broken.Store(true)
 		return len(p), nil
 	}
 	c.net.bytes.Add(int64(len(p)))
@@ -69,22 +69,25 @@
 }
 
 func newNetwork() *network {
-	return &network{listeners: map[string]*listener{}, away: map[string]bool{}}
+	return &network{listeners: map[string]*listener{}, isolated: map[string]bool{}}
 }
 
-// platformDomain stands for the platform in cuts.
+// platformDomain is the pseudo failure domain of the store.
 const platformDomain = "platform"
 
-func (n *network) cut(from, to string) bool {
+// partitioned reports whether messages between two failure domains are dropped.
+func (n *network) partitioned(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return from != to && (n.away[from] || n.away[to])
+	return from != to && (n.isolated[from] || n.isolated[to])
 }
 
-func (n *network) setAway(domain string, away bool) {
+// setPartitioned partitions a failure domain or an engine from all others, or heals
+// the partition.
+func (n *network) setPartitioned(domain string, away bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.away[domain] = away
+	n.isolated[domain] = away
 }
 
 func (n *network) listen(address, domain string) *listener {
@@ -101,9 +104,9 @@
 		l, found := n.listeners[address]
 		n.mu.Unlock()
 		if !found {
-			return nil, errors.New("nobody listens there")
+			return nil, errors.New("no listener at this address")
 		}
-		if n.cut(from, l.domain) {
+		if n.partitioned(from, l.domain) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -132,42 +135,43 @@
 	}
 }
 
-// cutStore is the platform as seen from a failure domain.
-type cutStore struct {
+// partitionableStore is the store as accessed from a failure domain.
+type partitionableStore struct {
 	store.Store
 	net    *network
 	domain string
 }
 
-func (s cutStore) reach(ctx context.Context) error {
-	if !s.net.cut(s.domain, platformDomain) {
+// reach returns ErrUnavailable while the store cannot be reached.
+func (s partitionableStore) reach(ctx context.Context) error {
+	if !s.net.partitioned(s.domain, platformDomain) {
 		return nil
 	}
 	return store.ErrUnavailable
 }
 
-func (s cutStore) Get(ctx context.Context, key string) (store.Object, error) {
+func (s partitionableStore) Get(ctx context.Context, key string) (store.Object, error) {
 	if err := s.reach(ctx); err != nil {
 		return store.Object{}, err
 	}
 	return s.Store.Get(ctx, key)
 }
 
-func (s cutStore) List(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s partitionableStore) List(ctx context.Context, prefix string) (store.Snapshot, error) {
 	if err := s.reach(ctx); err != nil {
 		return store.Snapshot{}, err
 	}
 	return s.Store.List(ctx, prefix)
 }
 
-func (s cutStore) Put(ctx context.Context, key string, value []byte, version store.Revision) (store.Object, error) {
+func (s partitionableStore) Put(ctx context.Context, key string, value []byte, version store.Revision) (store.Object, error) {
 	if err := s.reach(ctx); err != nil {
 		return store.Object{}, err
 	}
 	return s.Store.Put(ctx, key, value, version)
 }
 
-func (s cutStore) Watch(ctx context.Context, prefix string, revision store.Revision) (store.Snapshot, error) {
+func (s partitionableStore) Watch(ctx context.Context, prefix string, revision store.Revision) (store.Snapshot, error) {
 	if err := s.reach(ctx); err != nil {
 		return store.Snapshot{}, err
 	}
@@ -178,40 +182,42 @@
 	return snap, err
 }
 
-// cutEngine is an engine as reached from a failure domain.
-type cutEngine struct {
+// partitionableEngine is an engine as accessed from a failure domain.
+type partitionableEngine struct {
 	backend.Engine
 	net      *network
 	name     string
 	from, to string
 }
 
-// silent reports whether nobody reaches the engine.
-func (e cutEngine) silent() bool { return e.net.cut(e.from, e.to) || e.net.cut("", e.name) }
+// unreachable reports whether the engine cannot be reached from this failure domain.
+func (e partitionableEngine) unreachable() bool {
+	return e.net.partitioned(e.from, e.to) || e.net.partitioned("", e.name)
+}
 
-func (e cutEngine) Report(ctx context.Context, after uint64) (backend.Report, error) {
-	if e.silent() {
+func (e partitionableEngine) Report(ctx context.Context, after uint64) (backend.Report, error) {
+	if e.unreachable() {
 		return backend.Report{}, backend.ErrUnknown
 	}
 	return e.Engine.Report(ctx, after)
 }
 
-func (e cutEngine) Fence(ctx context.Context, epoch uint64) (backend.Report, error) {
-	if e.silent() {
+func (e partitionableEngine) Fence(ctx context.Context, epoch uint64) (backend.Report, error) {
+	if e.unreachable() {
 		return backend.Report{}, backend.ErrUnknown
 	}
 	return e.Engine.Fence(ctx, epoch)
 }
 
-func (e cutEngine) Load(ctx context.Context, o backend.Order) (backend.Ack, error) {
-	if e.silent() {
+func (e partitionableEngine) Load(ctx context.Context, o backend.Order) (backend.Ack, error) {
+	if e.unreachable() {
 		return backend.Ack{}, backend.ErrRefused
 	}
 	return e.Engine.Load(ctx, o)
 }
 
-func (e cutEngine) Generate(ctx context.Context, a backend.Attempt) (backend.Stream, error) {
-	if e.silent() {
+func (e partitionableEngine) Generate(ctx context.Context, a backend.Attempt) (backend.Stream, error) {
+	if e.unreachable() {
 		return nil, verdict.Refuse(verdict.ReasonBackend, "no route to %s", e.to)
 	}
 	return e.Engine.Generate(ctx, a)
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -18,14 +18,14 @@
 	"github.com/martenport/martenport/table"
 )
 
-// timelineTimeout bounds the collection of events, and defaultTimeline how
-// many are returned when the operator does not say.
+// timelineTimeout limits the collection of events. defaultTimelineLimit is the maximum
+// number of events returned if the request sets none.
 const (
-	timelineTimeout = 3 * time.Second
-	defaultTimeline = 1000
+	timelineTimeout      = 3 * time.Second
+	defaultTimelineLimit = 1000
 )
 
-// operatorHandler serves operators and metrics.
+// operatorHandler returns the handler of the operators' API and of metrics.
 func (d *Daemon) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	path, handler := martenportv1connect.NewOperatorServiceHandler(newOperator(d), connect.WithReadMaxBytes(operators.MaxMessageBytes))
@@ -34,7 +34,7 @@
 	return mux
 }
 
-// operator implements the operators' interface.
+// operator implements the operators' API.
 type operator struct {
 	operators.Declarations
 	d *Daemon
@@ -49,12 +49,12 @@
 
 // ListWorkspaces implements martenportv1connect.OperatorServiceHandler.
 func (o operator) ListWorkspaces(context.Context, *connect.Request[martenportv1.ListWorkspacesRequest]) (*connect.Response[martenportv1.ListWorkspacesResponse], error) {
-	return connect.NewResponse(&martenportv1.ListWorkspacesResponse{KeysTrusted: true}), nil // there are none here
+	return connect.NewResponse(&martenportv1.ListWorkspacesResponse{KeysTrusted: true}), nil // this daemon has no workspaces
 }
 
 // ListQuarantine implements martenportv1connect.OperatorServiceHandler.
 func (o operator) ListQuarantine(context.Context, *connect.Request[martenportv1.ListQuarantineRequest]) (*connect.Response[martenportv1.ListQuarantineResponse], error) {
-	return connect.NewResponse(&martenportv1.ListQuarantineResponse{}), nil // nothing is held here
+	return connect.NewResponse(&martenportv1.ListQuarantineResponse{}), nil // this daemon has no quarantine
 }
 
 // Release implements martenportv1connect.OperatorServiceHandler.
@@ -73,7 +73,7 @@
 	req := msg.Msg
 	limit := int(req.Limit)
 	if limit <= 0 {
-		limit = defaultTimeline
+		limit = defaultTimelineLimit
 	}
 	ctx, cancel := context.WithTimeout(ctx, timelineTimeout)
 	defer cancel()
@@ -117,6 +117,7 @@
 	return connect.NewResponse(out), nil
 }
 
+// engine returns the status of one engine.
 func (o operator) engine(e table.EngineView) *martenportv1.EngineStatus {
 	out := &martenportv1.EngineStatus{
 		Name: e.Engine, FailureDomain: e.FailureDomain, Orderer: e.Orderer, Epoch: e.Epoch,
--- a/daemon/operators_test.go
+++ b/daemon/operators_test.go
@@ -16,10 +16,10 @@
 
 const albumModel = "  - {name: album, version: \"1\", memory: 14GiB, maxReplicas: 1, deadline: 60s}\n"
 
-// TestLoweredCap: with three replicas loaded, operators lower the cap to one.
-// Replicas above it are unloaded, and a cut-off domain's is counted until the
-// domain is back.
-func TestLoweredCap(t *testing.T) {
+// TestMaxReplicasLowered checks that replicas above the limit are unloaded when
+// operators lower maxReplicas from three to one while a failure domain with a replica
+// is partitioned, and that exactly one replica remains after the partition heals.
+func TestMaxReplicasLowered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shape := small
 		shape.models, shape.tailWeight = captionModel("1", 3), 1
@@ -31,24 +31,24 @@
 		if n := f.replicas("caption"); n != 3 {
 			t.Fatalf("%d replicas, want 3\n%s", n, f.trace(event.Filter{Model: "caption"}))
 		}
-		f.net.setAway("d2", true)
+		f.net.setPartitioned("d2", true)
 		time.Sleep(20 * time.Second)
 		f.accept(f.nodes[0], captionModel("1", 1))
 		f.awaitUntil("the connected domains go down", time.Minute, func() bool { return f.replicasOutside("d2", "caption") == 0 || f.replicas("caption") <= 2 })
-		f.net.setAway("d2", false)
+		f.net.setPartitioned("d2", false)
 		f.awaitUntil("one replica is left", 2*time.Minute, func() bool { return f.replicas("caption") == 1 })
 		time.Sleep(time.Minute)
 		if n := f.replicas("caption"); n != 1 {
 			t.Errorf("%d replicas", n)
 		}
 		if _, err := f.nodes[0].generate("caption", "after", time.Minute); err != nil {
-			t.Errorf("after the cap was lowered: %v", err)
+			t.Errorf("request after maxReplicas was lowered: %v", err)
 		}
 	})
 }
 
-// TestRemovedModel: a model that operators removed is unloaded and refused, and
-// its slot is freed.
+// TestRemovedModel checks that a model removed from the declaration is unloaded, that
+// requests for it are refused, and that its slot is freed.
 func TestRemovedModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shape := small
@@ -61,7 +61,7 @@
 		f.accept(f.nodes[0], albumModel)
 		f.awaitUntil("the model is unloaded", time.Minute, func() bool { return f.replicas("caption") == 0 })
 		if _, err := f.nodes[0].generate("caption", "x", time.Minute); verdict.Of(err).Reason != verdict.ReasonUnknownModel {
-			t.Errorf("a removed model: %v", err)
+			t.Errorf("request for a removed model: %v, want ReasonUnknownModel", err)
 		}
 		f.awaitUntil("its slot is freed", time.Minute, func() bool {
 			for _, e := range f.nodes[0].tables.Engines.All() {
@@ -76,9 +76,9 @@
 	})
 }
 
-// TestVersionRolled: a new version takes the place of the old one without a
-// second replica, and requests are answered by the new one.
-func TestVersionRolled(t *testing.T) {
+// TestVersionUpdate checks that a new version of a model replaces the old one without
+// exceeding maxReplicas 1, and that requests are answered afterwards.
+func TestVersionUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, small)
 		defer f.close()
@@ -99,7 +99,7 @@
 		f.awaitUntil("generation 2", 14*time.Second, func() bool { return f.generationsAre(2, f.domains...) })
 		for _, n := range f.nodes {
 			if _, err := n.generate("caption", "new", time.Minute); err != nil {
-				t.Errorf("%s: %v", n.settings.Name, err)
+				t.Errorf("request for the new version at %s: %v", n.settings.Name, err)
 			}
 		}
 		<-done
@@ -107,8 +107,8 @@
 	})
 }
 
-// TestSlotMoves: the engine that holds a cap-1 model's slot has no room left;
-// the slot moves to an engine that has, without a second replica.
+// TestSlotMoves checks that the slot of a model with maxReplicas 1 moves to another
+// engine when the engine that holds it has no memory left, without a second replica.
 func TestSlotMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shape := small
@@ -122,7 +122,7 @@
 		if _, err := f.nodes[0].generate("caption", "x", time.Minute); err != nil {
 			t.Fatal(err)
 		}
-		home := f.homeOf("caption")
+		home := f.domainHolding("caption")
 		f.awaitUntil("it is idle", time.Minute, func() bool { return f.replicas("caption") == 0 })
 		stop := f.keepBusy(home, "big1")
 		defer stop()
@@ -131,7 +131,7 @@
 			t.Fatalf("%v\n%s", err, f.trace(event.Filter{Model: "caption"}))
 		}
 		if view, _ := f.nodes[0].tables.Engines.Get(answer.Engine); view.FailureDomain == home {
-			t.Errorf("answered by %s, which is full", answer.Engine)
+			t.Errorf("answered by %s, which has no memory for the model", answer.Engine)
 		}
 		if n := f.replicas("caption"); n != 1 {
 			t.Errorf("%d replicas", n)
@@ -139,7 +139,7 @@
 	})
 }
 
-// loadIn has the model loaded on an engine of the domain.
+// loadIn loads the model on one engine of the failure domain.
 func (f *testFleet) loadIn(domain, model string) {
 	f.t.Helper()
 	n := f.nodeIn(domain)
@@ -160,6 +160,8 @@
 	f.t.Fatalf("no orderer in %s", domain)
 }
 
+// replicasOutside returns the number of engines outside the failure domain that hold
+// the model.
 func (f *testFleet) replicasOutside(domain, model string) int {
 	n := 0
 	for name, e := range f.engines {
@@ -170,7 +172,8 @@
 	return n
 }
 
-// keepBusy loads a model in the domain and keeps requests running on it.
+// keepBusy loads a model on the engines of the failure domain and keeps requests
+// running on it until stop is called.
 func (f *testFleet) keepBusy(domain, model string) (stop func()) {
 	f.t.Helper()
 	n := f.nodeIn(domain)
--- a/daemon/overload_test.go
+++ b/daemon/overload_test.go
@@ -16,7 +16,8 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// One engine of 32 requests of 20 tokens of 5 ms serves 320 requests a second.
+// One engine that runs 32 requests of 20 tokens at 5 ms per token serves 320 requests
+// per second.
 const (
 	overloadTokens   = 20
 	overloadCapacity = 320
@@ -24,16 +25,17 @@
 	overloadSpan     = 10 * time.Second
 )
 
-// overloadResult is what became of one run.
+// overloadResult is the result of one run.
 type overloadResult struct {
-	goodput float64 // answers in time, a second
-	slowest time.Duration
-	refusal time.Duration // the longest that a refused caller waited
+	goodput float64       // answers within the deadline per second
+	slowest time.Duration // longest time to an answer
+	refusal time.Duration // longest time to a refusal
 	counts  admission.Counts
 }
 
-// overload offers load times capacity for a while. limits turns the line and
-// the windows on; without them every request goes to the engine at once.
+// overload offers load times the capacity for overloadSpan. limits enables queueing by
+// estimated wait and the request windows; without them every request is sent to the
+// engine immediately.
 func overload(t *testing.T, load int, limits bool) overloadResult {
 	f := newTestFleet(t, fleetShape{domains: 1, nodesPerDomain: 1, enginesPerDomain: 1, models: oneReplica, tailWeight: 1})
 	defer f.close()
@@ -49,8 +51,8 @@
 		t.Fatal(err)
 	}
 	type end struct {
-		took time.Duration
-		err  error
+		elapsed time.Duration
+		err     error
 	}
 	total := load * overloadCapacity * int(overloadSpan/time.Second)
 	ends := make(chan end, total)
@@ -71,9 +73,9 @@
 		switch {
 		case e.err == nil:
 			answered++
-			r.slowest = max(r.slowest, e.took)
+			r.slowest = max(r.slowest, e.elapsed)
 		case verdict.Of(e.err).Verdict == verdict.NotRun:
-			r.refusal = max(r.refusal, e.took)
+			r.refusal = max(r.refusal, e.elapsed)
 		}
 	}
 	r.goodput = float64(answered) / overloadSpan.Seconds()
@@ -81,22 +83,23 @@
 	return r
 }
 
-// TestGoodputStaysFlat: at five times the capacity at least nine tenths of it
-// is answered in time, and every request has one end.
-func TestGoodputStaysFlat(t *testing.T) {
+// TestGoodputUnderOverload guards against a collapse of goodput under overload: at five
+// times the capacity, the rate of answers within the deadline must be at least 90% of
+// the capacity, and every request must have exactly one outcome.
+func TestGoodputUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := overload(t, 5, true)
 		if r.goodput < 0.9*overloadCapacity {
-			t.Errorf("goodput %v, capacity %d", r.goodput, overloadCapacity)
+			t.Errorf("goodput %v requests per second, want at least 90%% of the capacity %d", r.goodput, overloadCapacity)
 		}
 		if r.counts.Accepted != r.counts.Sum() || r.counts.Running != 0 {
-			t.Errorf("%+v", r.counts)
+			t.Errorf("counts %+v, want none running and Accepted the sum of the others", r.counts)
 		}
 	})
 }
 
 // BenchmarkOverload offers 1, 2, 5 and 10 times the capacity, with and without
-// the line and the windows.
+// queueing by estimated wait and request windows.
 func BenchmarkOverload(b *testing.B) {
 	for _, load := range []int{1, 2, 5, 10} {
 		for _, limits := range []bool{true, false} {
@@ -115,8 +118,8 @@
 	}
 }
 
-// TestCancelByKey: a request is cancelled by its caller's key, and by nobody
-// else's.
+// TestCancelByKey checks that a request can be cancelled by its key, but only by the
+// caller that sent it.
 func TestCancelByKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, small)
@@ -128,22 +131,22 @@
 			done <- err
 		}()
 		time.Sleep(time.Second)
-		if n.running.stop("", "b", "k") {
-			t.Error("another caller's cancel took effect")
+		if n.running.cancelRequest("", "b", "k") {
+			t.Error("request cancelled by another caller")
 		}
-		if !n.running.stop("", "a", "k") {
-			t.Error("the request was not found by its key")
+		if !n.running.cancelRequest("", "a", "k") {
+			t.Error("request not found by its key")
 		}
 		if f := verdict.Of(<-done); f.Reason != verdict.ReasonCancelled || f.Verdict != verdict.NotRun {
-			t.Errorf("%v, want cancelled and not run", f)
+			t.Errorf("%v, want ReasonCancelled and verdict NotRun", f)
 		}
 		f.checkCounts()
 	})
 }
 
-// TestCancelLeavesNothing: a caller that leaves while its request waits for a
-// load is counted as cancelled.
-func TestCancelLeavesNothing(t *testing.T) {
+// TestCancelDuringLoad checks that a request whose caller disconnects while it waits
+// for a load is not answered and is not counted as running any more.
+func TestCancelDuringLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, small)
 		defer f.close()
@@ -156,7 +159,7 @@
 		time.Sleep(time.Second)
 		cancel()
 		if err := <-done; err == nil {
-			t.Error("a cancelled request was answered")
+			t.Error("cancelled request answered")
 		}
 		f.checkCounts()
 	})
--- a/daemon/partition_test.go
+++ b/daemon/partition_test.go
@@ -15,9 +15,10 @@
 
 var small = fleetShape{domains: 3, nodesPerDomain: 2, enginesPerDomain: 2, models: oneReplica, tailWeight: 0.5}
 
-// TestBurstMakesOneOrder: a burst for one cold model at every instance of
-// every failure domain makes one load and is answered.
-func TestBurstMakesOneOrder(t *testing.T) {
+// TestBurstLoadsOnce guards against duplicate loads: a burst of requests for one cold
+// model at all instances of all failure domains causes exactly one load, and all
+// requests are answered.
+func TestBurstLoadsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, small)
 		defer f.close()
@@ -28,7 +29,7 @@
 					prompt := fmt.Sprintf("%s/%d", n.settings.Name, i)
 					answer, err := n.generate("caption", prompt, time.Minute)
 					if err != nil {
-						t.Errorf("%s: %v", prompt, err)
+						t.Errorf("request %s: %v", prompt, err)
 						return
 					}
 					if want := fmt.Sprintf("%[1]s:0 %[1]s:1 %[1]s:2 %[1]s:3 ", prompt); answer.Text != want {
@@ -45,91 +46,93 @@
 	})
 }
 
-// cutSpan is how long the cut lasts between requests: long enough for all that
-// goes by time to have happened.
-const cutSpan = 20 * time.Minute
+// partitionStep is the time between requests during the partition: long enough for all
+// time-outs to expire.
+const partitionStep = 20 * time.Minute
 
-// TestDomainCutOff: the failure domain that holds the one slot is cut off for
-// an hour. It serves its callers, unloads and loads the model again without the
-// platform; the others refuse truthfully and at once; nobody makes a second
-// replica; after the cut all serve again.
-func TestDomainCutOff(t *testing.T) {
+// TestDomainPartitioned partitions the failure domain that holds the only slot of a
+// model for an hour. The domain must continue to serve requests, and unload and load
+// the model without the store. The other domains must refuse requests promptly with
+// NotRun, no second replica may be loaded, and after the partition heals all domains
+// must serve the model.
+func TestDomainPartitioned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shape := small
-		shape.tailWeight = 0 // idle models go at once
+		shape.tailWeight = 0 // idle models are unloaded as soon as possible
 		f := newTestFleet(t, shape)
 		defer f.close()
 		if _, err := f.nodes[0].generate("caption", "warm", time.Minute); err != nil {
 			t.Fatal(err)
 		}
-		home := f.homeOf("caption")
+		home := f.domainHolding("caption")
 		inside, outside := f.nodeIn(home), f.nodeOutside(home)
-		f.net.setAway(home, true)
+		f.net.setPartitioned(home, true)
 		f.awaitUntil("both sides notice", time.Minute, func() bool {
 			return len(outside.tables.Members.AliveIn(home)) == 0 && len(inside.tables.Members.AliveIn(outside.domain)) == 0
 		})
 		for range 3 {
-			time.Sleep(cutSpan)
+			time.Sleep(partitionStep)
 			if n := f.replicas("caption"); n != 0 {
-				t.Errorf("%d replicas after %v without requests", n, cutSpan)
+				t.Errorf("%d replicas after %v without requests, want 0", n, partitionStep)
 			}
 			if _, err := inside.generate("caption", "inside", time.Minute); err != nil {
-				t.Errorf("inside the cut: %v", err)
+				t.Errorf("request inside the partitioned domain: %v", err)
 			}
 			start := time.Now()
 			_, err := outside.generate("caption", "outside", time.Minute)
 			if failure := verdict.Of(err); err == nil || failure.Verdict != verdict.NotRun || failure.RetryAfter == 0 {
-				t.Errorf("outside the cut: %v", err)
+				t.Errorf("request outside the partitioned domain: %v, want NotRun with a retry delay", err)
 			}
-			if took := time.Since(start); took > 10*time.Second {
-				t.Errorf("the refusal took %v", took)
+			if elapsed := time.Since(start); elapsed > 10*time.Second {
+				t.Errorf("refusal outside the partitioned domain took %v, want at most 10 s", elapsed)
 			}
 			if n := f.replicas("caption"); n > 1 {
-				t.Fatalf("%d replicas", n)
+				t.Fatalf("%d replicas during the partition, want at most 1", n)
 			}
 		}
-		f.net.setAway(home, false)
+		f.net.setPartitioned(home, false)
 		f.awaitUntil("the other side serves again", time.Minute, func() bool {
 			_, err := outside.generate("caption", "healed", time.Minute)
 			return err == nil
 		})
 		if n := f.replicas("caption"); n != 1 {
-			t.Errorf("%d replicas", n)
+			t.Errorf("%d replicas after the partition, want 1", n)
 		}
 		f.checkCounts()
 	})
 }
 
-// TestConfigurationNeverReverts: a failure domain that is cut off goes on with
-// its generation, takes the newer one on return, and its old one changes
-// nothing elsewhere; a plan against an old generation is refused.
+// TestConfigurationNeverReverts guards against an old generation overwriting a newer
+// one. A partitioned failure domain must keep its generation, refuse to accept a plan
+// without the store, and adopt the newer generation when the partition heals; no other
+// domain may return to the old one.
 func TestConfigurationNeverReverts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, small)
 		defer f.close()
-		f.net.setAway("d2", true)
+		f.net.setPartitioned("d2", true)
 		time.Sleep(10 * time.Second)
-		two := "  - {name: caption, version: \"1\", memory: 14GiB, maxReplicas: 2, deadline: 60s}\n"
-		f.accept(f.nodes[0], two)
+		twoReplicas := "  - {name: caption, version: \"1\", memory: 14GiB, maxReplicas: 2, deadline: 60s}\n"
+		f.accept(f.nodes[0], twoReplicas)
 		f.awaitUntil("generation 2 in the connected domains", 14*time.Second, func() bool { return f.generationsAre(2, "d0", "d1") })
 		if !f.generationsAre(1, "d2") {
-			t.Error("the cut-off domain has a generation that it cannot have heard of")
+			t.Error("partitioned domain does not have generation 1")
 		}
 		if err := f.tryAccept(f.nodeIn("d2"), oneReplica); verdict.Of(err).Reason != verdict.ReasonPlatform {
-			t.Errorf("confirm without the platform: %v", err)
+			t.Errorf("confirmation without the store: %v, want ReasonPlatform", err)
 		}
-		f.net.setAway("d2", false)
+		f.net.setPartitioned("d2", false)
 		f.awaitUntil("generation 2 everywhere", 14*time.Second, func() bool { return f.generationsAre(2, f.domains...) })
 		time.Sleep(time.Minute)
 		if !f.generationsAre(2, f.domains...) {
-			t.Error("a generation was reverted")
+			t.Error("an instance left generation 2")
 		}
 	})
 }
 
-// TestNewInstanceWithoutPlatform: an instance that starts while the platform
-// is down learns the configuration and the engines from its peers.
-func TestNewInstanceWithoutPlatform(t *testing.T) {
+// TestNewInstanceWithoutStore checks that an instance which starts while the store is
+// unavailable gets the declaration and the engines' states from its peers.
+func TestNewInstanceWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, small)
 		defer f.close()
@@ -142,13 +145,13 @@
 			return fresh.tables.Config.Index().Generation == 1
 		})
 		if _, err := fresh.generate("caption", "fresh", time.Minute); err != nil {
-			t.Errorf("at the new instance: %v", err)
+			t.Errorf("request at the new instance: %v", err)
 		}
 	})
 }
 
-// TestLeavingEngine: an engine that says it is leaving gets no new request
-// from any instance after 3 s.
+// TestLeavingEngine checks that every instance knows within 3 s that an engine has
+// reported that it is leaving, and thus sends no new requests to it.
 func TestLeavingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, small)
@@ -172,6 +175,8 @@
 	})
 }
 
+// generationsAre reports whether all instances of the given failure domains have the
+// generation.
 func (f *testFleet) generationsAre(want int64, domains ...string) bool {
 	for _, n := range f.nodes {
 		for _, d := range domains {
@@ -183,14 +188,15 @@
 	return true
 }
 
-func (f *testFleet) homeOf(model string) string {
+// domainHolding returns the failure domain of an engine that holds the model.
+func (f *testFleet) domainHolding(model string) string {
 	for name, e := range f.engines {
 		if e.Holds(model) {
 			view, _ := f.nodes[0].tables.Engines.Get(name)
 			return view.FailureDomain
 		}
 	}
-	f.t.Fatalf("%s is loaded nowhere", model)
+	f.t.Fatalf("no engine holds model %s", model)
 	return ""
 }
 
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -10,10 +10,12 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// peerHandler answers other instances.
+// peerHandler implements the API for other instances.
 type peerHandler struct{ c *Core }
 
-// Exchange implements peer.Handler.
+// Exchange implements peer.Handler. It returns the changes of the tables since
+// args.Since and waits up to args.WaitMS for the first one. A caller that knows
+// another incarnation of this instance gets the complete tables.
 func (h peerHandler) Exchange(ctx context.Context, args *peer.ExchangeArgs, reply *peer.ExchangeReply) error {
 	tables := h.c.tables
 	tables.Members.Merge(args.Introduce)
@@ -58,7 +60,7 @@
 	return err
 }
 
-// residency is what is known of an engine, nil if nothing is.
+// residency returns the last known residency of an engine, nil if there is none.
 func (h peerHandler) residency(engine string) *table.Residency {
 	if view, known := h.c.tables.Engines.Get(engine); known && view.Engine != "" {
 		return &view.Residency
--- a/daemon/running.go
+++ b/daemon/running.go
@@ -9,25 +9,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errCancelled is the cause of a request's context ended by Cancel.
+// errCancelled is the cancellation cause of a request's context after Cancel.
 var errCancelled = errors.New("cancelled by the caller")
 
-// runningRequests lets running requests be cancelled by id or key.
+// runningRequests tracks running requests, so that they can be cancelled by ID or key.
 type runningRequests struct {
 	mu     sync.Mutex
-	cancel map[string]context.CancelCauseFunc // guarded by mu; by request id
-	byKey  map[callerKey]string               // guarded by mu; request id
+	cancel map[string]context.CancelCauseFunc // guarded by mu; by request ID
+	byKey  map[callerKey]string               // guarded by mu; request IDs
 }
 
-// callerKey is a key as its caller gave it.
+// callerKey is a key as sent by a caller.
 type callerKey struct{ caller, key string }
 
 func newRunningRequests() *runningRequests {
 	return &runningRequests{cancel: map[string]context.CancelCauseFunc{}, byKey: map[callerKey]string{}}
 }
 
-// start notes a request and returns its context and what to call at its end.
-func (r *runningRequests) start(ctx context.Context, id, caller, key string) (context.Context, func()) {
+// add registers a request. It returns the context to run the request with, and a
+// function that must be called once when the request has ended.
+func (r *runningRequests) add(ctx context.Context, id, caller, key string) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,10 +36,10 @@
 	if key != "" {
 		r.byKey[callerKey{caller, key}] = id
 	}
-	return ctx, func() { r.end(id, callerKey{caller, key}) }
+	return ctx, func() { r.remove(id, callerKey{caller, key}) }
 }
 
-func (r *runningRequests) end(id string, key callerKey) {
+func (r *runningRequests) remove(id string, key callerKey) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cancel[id](nil)
@@ -48,8 +49,9 @@
 	}
 }
 
-// stop cancels a request and reports whether it was running.
-func (r *runningRequests) stop(id, caller, key string) bool {
+// cancelRequest cancels the request with the given ID, or with the caller's key if id
+// is empty, and reports whether it was running.
+func (r *runningRequests) cancelRequest(id, caller, key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if id == "" {
@@ -62,6 +64,7 @@
 	return found
 }
 
+// ids returns the IDs of all running requests in sorted order.
 func (r *runningRequests) ids() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/scaleup_test.go
+++ b/daemon/scaleup_test.go
@@ -9,10 +9,10 @@
 	martenportv1 "github.com/martenport/martenport/api/martenport/v1"
 )
 
-// TestLongBurstGrows: requests that keep coming at twice what one replica
-// serves bring further replicas, up to the cap; a burst that is soon over
-// brings none.
-func TestLongBurstGrows(t *testing.T) {
+// TestScaleUpOnLongBurst checks that a load of twice the capacity of one replica adds
+// replicas up to the declared maximum if it lasts, and none if it is over before a
+// load would have finished.
+func TestScaleUpOnLongBurst(t *testing.T) {
 	for _, c := range []struct {
 		span time.Duration
 		want int
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -21,8 +21,8 @@
 	"github.com/martenport/martenport/api/martenport/v1/martenportv1connect"
 )
 
-// selfSigned writes a certificate and key for 127.0.0.1 and returns their files
-// and a pool that trusts them.
+// selfSigned writes a self-signed certificate for 127.0.0.1 and its key to files, and
+// returns the files and a pool that contains the certificate.
 func selfSigned(t *testing.T) (certFile, keyFile string, pool *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -54,8 +54,8 @@
 	return certFile, keyFile, pool
 }
 
-// TestTLS: with a certificate set, callers and operators are served over TLS
-// and in no other way.
+// TestTLS checks that the operators' API is served over TLS only if a certificate is
+// set.
 func TestTLS(t *testing.T) {
 	certFile, keyFile, pool := selfSigned(t)
 	s := testSettings("i", "d0")
@@ -68,9 +68,9 @@
 		return err
 	}
 	if err := status(secure, "https"); err != nil {
-		t.Errorf("over TLS: %v", err)
+		t.Errorf("status over TLS: %v", err)
 	}
 	if err := status(http.DefaultClient, "http"); err == nil {
-		t.Error("answered without TLS")
+		t.Error("status answered without TLS")
 	}
 }
--- a/daemon/unreachable_test.go
+++ b/daemon/unreachable_test.go
@@ -11,43 +11,43 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// silence has the model loaded, has its engine fall silent, waits until that is
-// known, and returns the engine.
-func (f *testFleet) silence(model string) string {
+// makeUnreachable loads the model, makes its engine unreachable, waits until that has
+// been detected, and returns the engine's name.
+func (f *testFleet) makeUnreachable(model string) string {
 	f.t.Helper()
 	first, err := f.nodes[0].generate(model, "x", time.Minute)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.net.setAway(first.Engine, true)
+	f.net.setPartitioned(first.Engine, true)
 	time.Sleep(10 * time.Second)
 	return first.Engine
 }
 
-// TestSilentEngine: the engine with the only replica stops answering. Requests
-// are answered by another replica, which the cap permits; the engine that came
-// back is used again.
-func TestSilentEngine(t *testing.T) {
+// TestUnreachableEngine makes the engine with the only replica unreachable. Requests
+// must be answered by another replica, which maxReplicas permits, at a bounded number
+// of store writes, and the engine must be used again once it is reachable.
+func TestUnreachableEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shape := small
 		shape.models = captionModel("1", 2)
 		f := newTestFleet(t, shape)
 		defer f.close()
-		silent := f.silence("caption")
+		silent := f.makeUnreachable("caption")
 		writes := f.platform.Writes.Load()
 		for _, n := range f.nodes {
 			answer, err := n.generate("caption", "y", time.Minute)
 			if err != nil {
-				t.Errorf("%s: %v", n.settings.Name, err)
+				t.Errorf("request at %s: %v", n.settings.Name, err)
 			} else if answer.Engine == silent {
-				t.Errorf("answered by %s, which is silent", answer.Engine)
+				t.Errorf("answered by %s, which is unreachable", answer.Engine)
 			}
 		}
 		time.Sleep(time.Minute)
 		if n := f.platform.Writes.Load() - writes; n > 20 {
-			t.Errorf("a silent engine cost %d platform writes in a minute", n)
+			t.Errorf("%d store writes in a minute with an unreachable engine, want at most 20", n)
 		}
-		f.net.setAway(silent, false)
+		f.net.setPartitioned(silent, false)
 		f.awaitUntil("the engine is used again", time.Minute, func() bool {
 			view, _ := f.nodes[0].tables.Engines.Get(silent)
 			return view.Usable()
@@ -56,8 +56,8 @@
 	})
 }
 
-// TestRole: an engine is ordered to its declared role, again after it came back
-// empty, and is left alone once it has it.
+// TestRole checks that an engine is ordered to its declared role, once after the
+// declaration and once after the engine has restarted empty, and not again after that.
 func TestRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, small)
@@ -85,41 +85,43 @@
 			}
 		}
 		if orders != 2 {
-			t.Errorf("%d orders, want 2", orders)
+			t.Errorf("%d role orders, want 2", orders)
 		}
 	})
 }
 
-// TestDeadAreForgotten: an instance that was replaced under another name is not
-// kept for ever, here or in the platform.
-func TestDeadAreForgotten(t *testing.T) {
+// TestDeadInstancesRemoved guards against unbounded growth of the membership by
+// instances that were replaced under another name: a dead instance is removed after
+// deadRetention, and not before.
+func TestDeadInstancesRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		members := table.New(table.Member{Name: "a"}).Members
 		members.Merge([]table.Member{{Name: "b", State: table.Alive, Incarnation: 1}, {Name: "c", State: table.Alive, Incarnation: 1}})
 		members.MarkDead("b")
-		time.Sleep(forgetAfter / 2)
-		if gone := members.ForgetDead(forgetAfter); len(gone) > 0 {
-			t.Errorf("forgot %v too soon", gone)
+		time.Sleep(deadRetention / 2)
+		if gone := members.ForgetDead(deadRetention); len(gone) > 0 {
+			t.Errorf("instances %v removed before deadRetention", gone)
 		}
-		time.Sleep(forgetAfter)
-		if gone := members.ForgetDead(forgetAfter); len(gone) != 1 || gone[0] != "b" {
-			t.Errorf("forgot %v, want b", gone)
+		time.Sleep(deadRetention)
+		if gone := members.ForgetDead(deadRetention); len(gone) != 1 || gone[0] != "b" {
+			t.Errorf("removed instances %v, want b", gone)
 		}
 		if _, found := members.Get("b"); found || len(members.All()) != 2 {
-			t.Errorf("%v", members.All())
+			t.Errorf("members %v, want a and c", members.All())
 		}
 	})
 }
 
-// TestEngineDeclaredLost: the engine that holds the only slot is gone for good.
-// Requests are refused until operators declare it lost, and served after.
+// TestEngineDeclaredLost checks that requests for a model whose only slot is held by an
+// unreachable engine are refused, and served elsewhere once operators have declared the
+// engine lost.
 func TestEngineDeclaredLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, small)
 		defer f.close()
-		silent := f.silence("caption")
+		silent := f.makeUnreachable("caption")
 		if _, err := f.nodes[0].generate("caption", "y", 20*time.Second); verdict.Of(err).Verdict != verdict.NotRun {
-			t.Errorf("with the slot on a silent engine: %v", err)
+			t.Errorf("request with the slot on an unreachable engine: %v, want verdict NotRun", err)
 		}
 		before := "name: " + silent + ", failureDomain: d" + silent[1:2] + ","
 		f.declared = strings.Replace(f.declared, before, before+" lost: true,", 1)
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -20,26 +20,29 @@
 	"github.com/martenport/martenport/table"
 )
 
-// watchersPerDomain is how many instances of a failure domain watch the
-// platform; the others hear from them. Two, so that one may go.
+// watchersPerDomain is the number of instances per failure domain that watch the
+// store; the others receive changes from them by gossip. Two tolerate the loss of one.
 const watchersPerDomain = 2
 
-// watchPause is the pause after a failed call and between looks at whether
-// this instance is a watcher.
-const watchPause = time.Second
+// watchRetryInterval is the pause after a failed call, and between checks of whether this
+// instance is a watcher.
+const watchRetryInterval = time.Second
 
-// watchedStore notes whether the platform can be reached.
-type watchedStore struct {
+// monitoredStore wraps a store and tracks whether it can be reached, from the results
+// of Get and Put.
+type monitoredStore struct {
 	store.Store
 	events *event.Recorder
 	down   atomic.Bool
 }
 
-func newWatchedStore(s store.Store, events *event.Recorder) *watchedStore {
-	return &watchedStore{Store: s, events: events}
+func newMonitoredStore(s store.Store, events *event.Recorder) *monitoredStore {
+	return &monitoredStore{Store: s, events: events}
 }
 
-func (w *watchedStore) note(err error) {
+// recordResult updates the state of the store from the result of a call, and records
+// an event if it changes.
+func (w *monitoredStore) recordResult(err error) {
 	down := errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown)
 	if w.down.Swap(down) == down {
 		return
@@ -52,21 +55,22 @@
 }
 
 // Get implements store.Store.
-func (w *watchedStore) Get(ctx context.Context, key string) (store.Object, error) {
+func (w *monitoredStore) Get(ctx context.Context, key string) (store.Object, error) {
 	obj, err := w.Store.Get(ctx, key)
-	w.note(err)
+	w.recordResult(err)
 	return obj, err
 }
 
 // Put implements store.Store.
-func (w *watchedStore) Put(ctx context.Context, key string, value []byte, version store.Revision) (store.Object, error) {
+func (w *monitoredStore) Put(ctx context.Context, key string, value []byte, version store.Revision) (store.Object, error) {
 	obj, err := w.Store.Put(ctx, key, value, version)
-	w.note(err)
+	w.recordResult(err)
 	return obj, err
 }
 
-// watch registers the instance, learns the declaration and the instances, and
-// watches for changes while this instance is one of its domain's watchers.
+// watch registers the instance, reads the declaration, the instances and the backend
+// servers' states from the store, and watches for changes while this instance is one
+// of its domain's watchers.
 func (c *Core) watch(ctx context.Context) {
 	c.register(ctx)
 	var watches sync.WaitGroup
@@ -80,27 +84,29 @@
 	watches.Wait()
 }
 
-// watchPrefix reads everything once, then watches as long as it is this
-// instance's turn. A gap in the watch is closed by reading anew.
+// watchPrefix reads all objects with the prefix once, then watches them while this
+// instance is a watcher. After a failed watch it reads all objects again.
 func (c *Core) watchPrefix(ctx context.Context, prefix string, apply func(store.Object)) {
 	revision := store.Revision(-1)
 	for ctx.Err() == nil {
 		snap, err := c.readOrWatch(ctx, prefix, revision)
 		if err != nil {
 			revision = -1
-			pause.For(ctx, watchPause)
+			pause.For(ctx, watchRetryInterval)
 			continue
 		}
 		for _, obj := range snap.Objects {
 			apply(obj)
 		}
 		revision = snap.Revision
-		for !c.watches() && pause.For(ctx, watchPause) {
+		for !c.isWatcher() && pause.For(ctx, watchRetryInterval) {
 			revision = -1
 		}
 	}
 }
 
+// readOrWatch lists all objects if revision is negative, else it returns the changes
+// after revision.
 func (c *Core) readOrWatch(ctx context.Context, prefix string, revision store.Revision) (store.Snapshot, error) {
 	if revision < 0 {
 		return c.store.List(ctx, prefix)
@@ -108,8 +114,8 @@
 	return c.store.Watch(ctx, prefix, revision)
 }
 
-// watches reports whether this instance is one of its domain's watchers.
-func (c *Core) watches() bool {
+// isWatcher reports whether this instance is one of its domain's watchers.
+func (c *Core) isWatcher() bool {
 	self := c.tables.Members.Self()
 	names := table.Names(c.tables.Members.AliveIn(self.FailureDomain))
 	for range watchersPerDomain {
@@ -140,12 +146,12 @@
 		return
 	}
 	if known, found := c.tables.Members.Get(m.Name); found && known.Incarnation >= m.Incarnation {
-		return // what instances say of each other is newer than the list
+		return // membership from gossip is newer than the stored entry
 	}
 	c.tables.Members.Merge([]table.Member{m})
 }
 
-// backendStatus is the platform's own word on a backend server.
+// backendStatus is the stored state of a backend server, as set by the platform.
 type backendStatus struct {
 	Leaving bool `json:"leaving"`
 }
@@ -163,7 +169,8 @@
 
 func (c *Core) instanceKey() string { return store.PrefixInstances + c.settings.Name }
 
-// register writes this instance's entry, over that of an earlier start.
+// register writes this instance's entry to the store and replaces that of an earlier
+// start. It retries until it succeeds, ctx ends or the instance drains.
 func (c *Core) register(ctx context.Context) {
 	for ctx.Err() == nil && !c.gate.Draining() {
 		_, version, err := store.Read[table.Member](ctx, c.store, c.instanceKey())
@@ -173,27 +180,28 @@
 		if err == nil {
 			return
 		}
-		pause.For(ctx, watchPause)
+		pause.For(ctx, watchRetryInterval)
 	}
 }
 
-// unregister removes the entry. If the platform is away the entry stays and is
-// overruled by what instances say of each other.
+// unregister removes this instance's entry from the store. If the store cannot be
+// reached, the entry remains and is overridden by the membership from gossip.
 func (c *Core) unregister(ctx context.Context) { c.remove(ctx, c.instanceKey()) }
 
-// sweepInterval is how often what is old is removed.
+// sweepInterval is the interval between removals of expired records.
 const sweepInterval = time.Minute
 
-// forgetAfter is how long a dead instance is remembered: longer than a failure
-// domain is usually cut off.
-const forgetAfter = 24 * time.Hour
+// deadRetention is how long a dead instance is kept in the membership: longer than the
+// usual partition of a failure domain.
+const deadRetention = 24 * time.Hour
 
-// sweep removes old keys and the entries of instances that are long gone. Each
-// instance forgets; the one chosen for it also tidies the platform.
+// sweep periodically removes expired keys and the entries of long dead instances.
+// Every instance removes them from its own tables; one chosen instance also removes
+// them from the store.
 func (c *Core) sweep(ctx context.Context) {
 	for pause.For(ctx, sweepInterval) {
 		chosen := rendezvous.Choose("sweep", table.Names(c.tables.Members.Alive())) == c.settings.Name
-		for _, name := range c.tables.Members.ForgetDead(forgetAfter) {
+		for _, name := range c.tables.Members.ForgetDead(deadRetention) {
 			if chosen {
 				c.remove(ctx, store.PrefixInstances+name)
 			}
@@ -204,7 +212,7 @@
 	}
 }
 
-// remove deletes an object whatever its version.
+// remove deletes an object regardless of its version.
 func (c *Core) remove(ctx context.Context, key string) {
 	if obj, err := c.store.Get(ctx, key); err == nil {
 		_ = c.store.Delete(ctx, obj.Key, obj.Version)
--- a/daemon/weights_test.go
+++ b/daemon/weights_test.go
@@ -11,9 +11,10 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// TestSlowWeightStore: the store slows down to a hundredth. Requests that it
-// cannot serve in time are refused as NotRun by their deadline at the latest,
-// and at once when it has been seen to be slow; then it recovers, and so do we.
+// TestSlowWeightStore slows the weight store down to 1/100 of its speed. Requests whose
+// load would not finish in time must be refused with NotRun by their deadline at the
+// latest, and promptly once slow loads have been observed. When the weight store
+// recovers, requests must be answered again.
 func TestSlowWeightStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var list strings.Builder
@@ -34,33 +35,34 @@
 		}
 		f.weights.SetSpeed(0.01)
 		for i := 1; i <= 9; i++ {
-			took, err := ask(i, 10*time.Minute)
-			if err != nil && (verdict.Of(err).Verdict != verdict.NotRun || took > 10*time.Minute) {
-				t.Errorf("after %v: %v", took, err)
+			elapsed, err := ask(i, 10*time.Minute)
+			if err != nil && (verdict.Of(err).Verdict != verdict.NotRun || elapsed > 10*time.Minute) {
+				t.Errorf("request during the slowdown: after %v: %v, want NotRun by the deadline", elapsed, err)
 			}
 		}
-		took, err := ask(10, 30*time.Second)
-		if f := verdict.Of(err); err == nil || f.Verdict != verdict.NotRun || f.RetryAfter == 0 || took > 5*time.Second {
-			t.Errorf("a doomed load: after %v: %v", took, err)
+		elapsed, err := ask(10, 30*time.Second)
+		if f := verdict.Of(err); err == nil || f.Verdict != verdict.NotRun || f.RetryAfter == 0 || elapsed > 5*time.Second {
+			t.Errorf("request whose load is too slow: after %v: %v, want NotRun within 5 s", elapsed, err)
 		}
 		f.weights.SetSpeed(1)
 		time.Sleep(time.Minute)
 		if _, err := ask(13, 30*time.Second); err != nil {
-			t.Errorf("with short deadlines only, after the store recovered: %v", err)
+			t.Errorf("request with a short deadline, first after the recovery: %v", err)
 		}
 		if _, err := ask(11, 10*time.Minute); err != nil {
-			t.Errorf("after the store recovered: %v", err)
+			t.Errorf("request with a long deadline after the recovery: %v", err)
 		}
 		if _, err := ask(12, 30*time.Second); err != nil {
-			t.Errorf("soon after the store recovered: %v", err)
+			t.Errorf("further request with a short deadline after the recovery: %v", err)
 		}
 		f.checkCounts()
 	})
 }
 
-// TestManyColdModels: twelve cold models are asked for at once. Loaded a few at
-// a time, most come within a deadline that none would meet if all shared the
-// weight store's streams; what is refused is refused truthfully.
+// TestManyColdModels guards against concurrent loads slowing each other down until all
+// miss their deadline. Twelve cold models are requested concurrently; loaded a few at a
+// time, most are ready within a deadline that none would meet if all loads shared the
+// weight store's bandwidth.
 func TestManyColdModels(t *testing.T) {
 	const (
 		models   = 12
@@ -95,7 +97,7 @@
 		all.Wait()
 		t.Logf("answered=%d of %d", answered, models)
 		if answered < minReady {
-			t.Errorf("%d of %d answered in time, want at least %d", answered, models, minReady)
+			t.Errorf("%d of %d requests answered in time, want at least %d", answered, models, minReady)
 		}
 		f.checkCounts()
 	})
