--- a/command/dispatch/acquire.go
+++ b/command/dispatch/acquire.go
@@ -14,17 +14,18 @@
 )
 
 // acquire reserves capacity on a replica that holds all units of the request,
-// and has missing units loaded first. Engines in refused are skipped until a
-// wake has confirmed what is loaded; refused is then cleared.
-func (d *Dispatcher) acquire(ctx context.Context, req Request, refused map[string]bool, result *Result) (reservation, error) {
+// and has missing units loaded first. Engines in tried, which have failed an attempt
+// of the request, are skipped until a wake has confirmed what is loaded; tried is then
+// cleared. acquire sets result.Cold if it had to wait for a load.
+func (d *Dispatcher) acquire(ctx context.Context, req Request, tried map[string]bool, result *Result) (reservation, error) {
 	for range maxAcquireRounds {
 		index := d.tables.Config.Index()
 		units, err := unitsOf(index, req)
 		if err != nil {
 			return reservation{}, err
 		}
-		if len(d.candidates(units, refused)) > 0 {
-			found, err := d.awaitCapacity(ctx, req, units, refused)
+		if len(d.candidates(units, tried)) > 0 {
+			found, err := d.awaitCapacity(ctx, req, units, tried)
 			if err != nil || found.release != nil {
 				return found, err
 			}
@@ -37,7 +38,7 @@
 			}
 			return reservation{}, err
 		}
-		clear(refused)
+		clear(tried)
 		if err := d.awaitResident(ctx, index, units, missing); err != nil {
 			return reservation{}, err
 		}
@@ -54,15 +55,15 @@
 
 // awaitCapacity queues the request until a replica has capacity. It returns the
 // zero reservation if no replica is left.
-func (d *Dispatcher) awaitCapacity(ctx context.Context, req Request, units []backend.Unit, refused map[string]bool) (reservation, error) {
+func (d *Dispatcher) awaitCapacity(ctx context.Context, req Request, units []backend.Unit, tried map[string]bool) (reservation, error) {
 	deadline, _ := ctx.Deadline()
 	waiter := admission.Waiter{
 		Model: req.Model, Caller: req.Caller, Priority: req.Priority, Deadline: deadline,
-		ServiceTime: d.minServiceTime(units, refused, req.MaxTokens),
+		ServiceTime: d.minServiceTime(units, tried, req.MaxTokens),
 	}
 	var found reservation
 	err := d.queue.Wait(ctx, waiter, func() bool {
-		candidates := d.candidates(units, refused)
+		candidates := d.candidates(units, tried)
 		if len(candidates) == 0 {
 			return true // no replica is left: acquire has one loaded again
 		}
@@ -78,9 +79,9 @@
 
 // minServiceTime returns the observed duration of a request of the given number
 // of tokens on the fastest replica, 0 if there is none.
-func (d *Dispatcher) minServiceTime(units []backend.Unit, refused map[string]bool, tokens int) time.Duration {
+func (d *Dispatcher) minServiceTime(units []backend.Unit, tried map[string]bool, tokens int) time.Duration {
 	var best time.Duration
-	for i, r := range d.candidates(units, refused) {
+	for i, r := range d.candidates(units, tried) {
 		if s := d.balancer.ServiceTime(r.Engine, tokens); i == 0 || s < best {
 			best = s
 		}
@@ -89,8 +90,8 @@
 }
 
 // candidates returns the replicas that a request may be sent to.
-func (d *Dispatcher) candidates(units []backend.Unit, refused map[string]bool) []table.EngineView {
-	replicas := slices.DeleteFunc(d.replicas(d.tables.Config.Index(), units), func(e table.EngineView) bool { return refused[e.Engine] })
+func (d *Dispatcher) candidates(units []backend.Unit, tried map[string]bool) []table.EngineView {
+	replicas := slices.DeleteFunc(d.replicas(d.tables.Config.Index(), units), func(e table.EngineView) bool { return tried[e.Engine] })
 	return d.preferReachable(replicas)
 }
 
--- a/command/dispatch/dispatch.go
+++ b/command/dispatch/dispatch.go
@@ -108,13 +108,13 @@
 	var result Result
 	worst := verdict.NotRun
 	d.budget.earn()
-	refused := map[string]bool{}
+	tried := map[string]bool{}
 	for attempt := 1; ; attempt++ {
-		reserved, err := d.acquire(ctx, req, refused, &result)
+		reserved, err := d.acquire(ctx, req, tried, &result)
 		if err == nil {
 			result.Engine = reserved.engine.Engine
 			err = d.attempt(ctx, reserved, req, sink, &result)
-			refused[result.Engine] = true
+			tried[result.Engine] = true
 		}
 		if err == nil {
 			return result, nil
--- a/command/dispatch/dispatch_test.go
+++ b/command/dispatch/dispatch_test.go
@@ -169,7 +169,7 @@
 		script     []outcome
 		idempotent bool
 		sent       bool
-		want       verdict.Verdict // 0 when answered
+		want       verdict.Verdict // 0 if answered
 	}{
 		{"whole", nil, false, false, 0},
 		{"refused, sent again", []outcome{notRun}, false, false, 0},
