--- a/command/admission/gate.go
+++ b/command/admission/gate.go
@@ -43,7 +43,7 @@
 	byModel  map[string]int // guarded by mu
 	byCaller map[string]int // guarded by mu
 	draining bool           // guarded by mu
-	idle     chan struct{}  // guarded by mu; closed when draining and nothing runs
+	idle     chan struct{}  // guarded by mu; closed when draining and no request is running
 }
 
 // NewGate returns a Gate that accepts requests.
