--- a/command/routing/balancer.go
+++ b/command/routing/balancer.go
@@ -75,9 +75,9 @@
 	if session == "" {
 		return best, true
 	}
-	home := b.sessionReplica(usable, session)
-	if b.score(home, domain) <= b.score(best, domain)+b.params.AffinitySlack {
-		return home, true
+	preferred := b.sessionReplica(usable, session)
+	if b.score(preferred, domain) <= b.score(best, domain)+b.params.AffinitySlack {
+		return preferred, true
 	}
 	return best, true
 }
--- a/command/routing/window.go
+++ b/command/routing/window.go
@@ -62,12 +62,12 @@
 const serviceWeight = 0.1
 
 // smooth updates *old with an observation by exponential smoothing.
-func smooth(old *float64, seen float64) {
+func smooth(old *float64, value float64) {
 	if *old == 0 {
-		*old = seen
+		*old = value
 		return
 	}
-	*old += serviceWeight * (seen - *old)
+	*old += serviceWeight * (value - *old)
 }
 
 // ObserveFirstToken records the delay d of a request's first token.
