--- a/command/runonce/runonce.go
+++ b/command/runonce/runonce.go
@@ -217,7 +217,7 @@
 		run.release(ctx)
 		return
 	}
-	run.registry.hold(run)
+	run.registry.keepFinished(run)
 }
 
 // finish sets the outcome and wakes all callers of wait.
@@ -234,12 +234,12 @@
 		run.registry.forget(run)
 		return
 	}
-	run.registry.hold(run)
+	run.registry.keepFinished(run)
 }
 
-// hold keeps the finished run to answer repeated requests. Only the newest MaxHeld
+// keepFinished keeps the finished run to answer repeated requests. Only the newest MaxHeld
 // finished runs are kept.
-func (r *Registry) hold(run *Run) {
+func (r *Registry) keepFinished(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.finishedKeys = append(r.finishedKeys, run.key)
--- a/command/runonce/runonce_test.go
+++ b/command/runonce/runonce_test.go
@@ -212,9 +212,9 @@
 	}
 }
 
-// TestPlatformDown checks that a key is refused with NotRun and a retry delay if
+// TestStoreUnavailable checks that a key is refused with NotRun and a retry delay if
 // the store cannot be reached.
-func TestPlatformDown(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	store := standin.NewPlatform()
 	store.SetDown(true)
 	r := NewRegistry(Params{MaxHeld: 1}, "a", store, nil)
