--- a/command/intent/intent.go
+++ b/command/intent/intent.go
@@ -63,7 +63,7 @@
 	var warnings []string
 	if err != nil {
 		warnings = append(warnings, "the platform does not answer: the plan is against the generation known here and cannot be confirmed now")
-		current = i.known()
+		current = i.localAccepted()
 	}
 	before, err := indexOf(current)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return Plan{
 		ID: planID(current.Generation, source), BaseGeneration: current.Generation,
 		Changes:  declaration.Diff(before.Declaration, next),
-		Warnings: append(warnings, i.unreachable()...),
+		Warnings: append(warnings, i.unreachableWarnings()...),
 	}, nil
 }
 
@@ -103,8 +103,8 @@
 	return &current, version, err
 }
 
-// known returns the declaration in force at this instance, an empty one if none is.
-func (i *Intents) known() *table.Accepted {
+// localAccepted returns the declaration in force at this instance, an empty one if none is.
+func (i *Intents) localAccepted() *table.Accepted {
 	if a := i.config.Accepted(); a != nil {
 		return a
 	}
@@ -125,9 +125,9 @@
 	return a.Index(), nil
 }
 
-// unreachable returns warnings for failure domains without an instance known to be
+// unreachableWarnings returns warnings for failure domains without an instance known to be
 // alive: their slots count as used until they are reachable again.
-func (i *Intents) unreachable() []string {
+func (i *Intents) unreachableWarnings() []string {
 	var out []string
 	for _, domain := range i.config.Index().Declaration.FailureDomains {
 		if !i.populated(domain) {
@@ -138,9 +138,9 @@
 }
 
 // Confirm accepts the plan with the given ID and returns its generation. It is
-// idempotent: confirming an accepted plan again returns the same generation. The
-// error is a *verdict.Failure; its verdict is MayHaveRun if the outcome of the write
-// is unknown.
+// idempotent: confirming an accepted plan again returns the same generation. A refusal
+// is a *verdict.Failure; its verdict is MayHaveRun if the outcome of the write is
+// unknown.
 func (i *Intents) Confirm(ctx context.Context, id string, base int64, source []byte) (*table.Accepted, error) {
 	if _, err := parse(source); err != nil {
 		return nil, err
--- a/command/intent/intent_test.go
+++ b/command/intent/intent_test.go
@@ -64,12 +64,12 @@
 // generation.
 func TestStalePlanShowsDifference(t *testing.T) {
 	i := newIntents(standin.NewPlatform())
-	mine, _ := i.Plan(t.Context(), source(1))
-	theirs, _ := i.Plan(t.Context(), source(3))
-	if _, err := i.Confirm(t.Context(), theirs.ID, theirs.BaseGeneration, source(3)); err != nil {
+	superseded, _ := i.Plan(t.Context(), source(1))
+	newer, _ := i.Plan(t.Context(), source(3))
+	if _, err := i.Confirm(t.Context(), newer.ID, newer.BaseGeneration, source(3)); err != nil {
 		t.Fatal(err)
 	}
-	_, err := i.Confirm(t.Context(), mine.ID, mine.BaseGeneration, source(1))
+	_, err := i.Confirm(t.Context(), superseded.ID, superseded.BaseGeneration, source(1))
 	f := verdict.Of(err)
 	if f.Reason != verdict.ReasonStalePlan || !strings.Contains(f.Detail, "maxReplicas 3 to 1") {
 		t.Errorf("%v, want stale_plan with the change of maxReplicas from 3 to 1", err)
