--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -39,8 +39,7 @@
 	platformReadRetries = 2
 )
 
-// New opens the listeners and returns the instance. Run starts it. The error is that
-// of settings.Check or of a listener.
+// New checks the settings, opens the listeners and returns the instance. Run starts it.
 func New(s settings.Settings, log *logrus.Logger) (*Daemon, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
--- a/daemon/fleet_test.go
+++ b/daemon/fleet_test.go
@@ -41,7 +41,7 @@
 	running  sync.WaitGroup
 }
 
-// fleetShape is the size of a test fleet.
+// fleetShape is the size and the declaration of a test fleet.
 type fleetShape struct {
 	domains, nodesPerDomain, enginesPerDomain int
 	// models is the YAML list of models.
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -54,8 +54,8 @@
 	return certFile, keyFile, pool
 }
 
-// TestTLS checks that the operators' API is served over TLS only if a certificate is
-// set.
+// TestTLS checks that, with a certificate set, the operators' API is served over TLS
+// and not over plain HTTP.
 func TestTLS(t *testing.T) {
 	certFile, keyFile, pool := selfSigned(t)
 	s := testSettings("i", "d0")
