--- a/command/routing/routing_test.go
+++ b/command/routing/routing_test.go
@@ -33,9 +33,9 @@
 // of each request.
 type router interface {
 	choose(views []table.EngineView) int
-	sent(engine string) func()
-	first(engine string, d time.Duration)
-	finished(engine string, d time.Duration)
+	started(engine string) func()
+	firstToken(engine string, d time.Duration)
+	answered(engine string, d time.Duration)
 }
 
 // roundRobin selects replicas in turn.
@@ -44,9 +44,9 @@
 func (r *roundRobin) choose(views []table.EngineView) int {
 	return int(r.next.Add(1)) % len(views)
 }
-func (*roundRobin) sent(string) func()             { return func() {} }
-func (*roundRobin) first(string, time.Duration)    {}
-func (*roundRobin) finished(string, time.Duration) {}
+func (*roundRobin) started(string) func()            { return func() {} }
+func (*roundRobin) firstToken(string, time.Duration) {}
+func (*roundRobin) answered(string, time.Duration)   {}
 
 // twoChoices selects the less loaded of two random replicas by their reports.
 type twoChoices struct{ roundRobin }
@@ -69,12 +69,12 @@
 	}
 	return slices.IndexFunc(views, func(v table.EngineView) bool { return v.Engine == chosen.Engine })
 }
-func (b balancerRouter) sent(engine string) func() {
+func (b balancerRouter) started(engine string) func() {
 	done := b.StartRequest(engine)
 	return func() { done(false) }
 }
-func (b balancerRouter) first(engine string, d time.Duration) { b.ObserveFirstToken(engine, 1, d) }
-func (b balancerRouter) finished(engine string, d time.Duration) {
+func (b balancerRouter) firstToken(engine string, d time.Duration) { b.ObserveFirstToken(engine, 1, d) }
+func (b balancerRouter) answered(engine string, d time.Duration) {
 	b.ObserveAnswer(engine, routeTokens, d)
 }
 
@@ -158,7 +158,7 @@
 		}
 	}
 	name := fmt.Sprint(i)
-	done := r.sent(name)
+	done := r.started(name)
 	sent := time.Now()
 	s, err := f.engines[i].Generate(t.Context(), backend.Attempt{Unit: unit, ID: fmt.Sprint(rand.Uint64()), MaxTokens: routeTokens})
 	if err != nil {
@@ -174,13 +174,13 @@
 		}
 		if first.IsZero() {
 			first = time.Now()
-			r.first(name, first.Sub(sent))
+			r.firstToken(name, first.Sub(sent))
 		}
 		if token.End {
 			break
 		}
 	}
-	r.finished(name, time.Since(first))
+	r.answered(name, time.Since(first))
 	done()
 	f.mu.Lock()
 	defer f.mu.Unlock()
