--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestServes checks plain requests, requests for a loaded model and for an adapter, and concurrent requests at all
-// instances for a model that is not loaded, which is loaded once for all of them.
+// instances for a model that is not loaded. It is loaded once for all of them, or twice with a spare replica.
 func TestServes(t *testing.T) {
 	f := newFleet(t, 3)
 	f.addServer("e3", "llm", []string{"m2", "m3"})
