--- a/entry/access_test.go
+++ b/entry/access_test.go
@@ -174,7 +174,8 @@
 					otherSent++
 					if other.status != http.StatusOK {
 						otherRefused++
-						t.Logf("another workspace's request %s after the start: status %d, %s", time.Since(began), other.status, other.body)
+						t.Logf("another workspace's request %s after the start: status %d, %s",
+							time.Since(began), other.status, other.body)
 					}
 				}
 				mu.Unlock()
@@ -194,7 +195,8 @@
 		}
 		worst = max(worst, n)
 	}
-	t.Logf("%d ran, at most %d within %s, %d refused for the limit; other workspace: %d sent, %d refused", len(runs), worst, window, limited, otherSent, otherRefused)
+	t.Logf("%d ran, at most %d within %s, %d refused for the limit; other workspace: %d sent, %d refused",
+		len(runs), worst, window, limited, otherSent, otherRefused)
 	if got := float64(worst) * 200; got > bound {
 		t.Errorf("%.0f tokens within %s, the bound is %.0f", got, window, float64(bound))
 	}
--- a/entry/calls_test.go
+++ b/entry/calls_test.go
@@ -88,7 +88,8 @@
 		defer runWatcher(t, w)()
 		time.Sleep(time.Second)
 		for range 5 {
-			w.applyHolderUpdate(holder.Update{Config: access.ConfigStatus{Version: 1}, Servers: directory.Delta{Digest: w.dir.Digest()}}, time.Now(), time.Now())
+			w.applyHolderUpdate(holder.Update{Config: access.ConfigStatus{Version: 1}, Servers: directory.Delta{Digest: w.dir.Digest()}},
+				time.Now(), time.Now())
 			time.Sleep(time.Second)
 		}
 		if config, servers := s.config.Load(), s.servers.Load(); config != 1 || servers != 0 {
--- a/entry/crash_fixture_test.go
+++ b/entry/crash_fixture_test.go
@@ -98,7 +98,8 @@
 		}
 		s, err := standin.NewServerAt(address, standin.ServerParams{
 			ID: id, Service: "llm", FailureDomain: "a", EventPause: f.engines.eventPause, Models: testModels, MemoryMB: testMemoryMB,
-			AdapterSlots: testAdapterSlots, Loaded: []string{"m1"}, PoisonPrefix: poison, OmitSeal: f.engines.omitSeal, CrashDelay: f.engines.crashDelay,
+			AdapterSlots: testAdapterSlots, Loaded: []string{"m1"},
+			PoisonPrefix: poison, OmitSeal: f.engines.omitSeal, CrashDelay: f.engines.crashDelay,
 		})
 		if err != nil {
 			f.t.Errorf("engine: %v", err)
@@ -234,7 +235,8 @@
 	late := f.lateAttempts()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.t.Logf("%d engines crashed, %d late attempts, %d of %d harmless requests failed, %d refused as quarantined", len(f.crashedAt), late, f.failed, f.sent, f.misjudged)
+	f.t.Logf("%d engines crashed, %d late attempts, %d of %d harmless requests failed, %d refused as quarantined",
+		len(f.crashedAt), late, f.failed, f.sent, f.misjudged)
 	if len(f.crashedAt) > maxCrashes {
 		f.t.Errorf("%d engines crashed under one request, want at most %d", len(f.crashedAt), maxCrashes)
 	}
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -77,7 +77,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.crashedAt) != crashesToQuarantine || refused == 0 {
-		t.Errorf("%d engines crashed, want %d; refused as quarantined %d times in a row", len(f.crashedAt), crashesToQuarantine, refused)
+		t.Errorf("%d engines crashed, want %d; refused as quarantined %d times in a row",
+			len(f.crashedAt), crashesToQuarantine, refused)
 	}
 }
 
--- a/entry/era_test.go
+++ b/entry/era_test.go
@@ -96,7 +96,8 @@
 				}
 				s.await("all rely on a holder", 30*time.Second, s.settled)
 				if next := s.holder().Instance.holder; next.Fence() <= token || next.PriorOperationsEnded(time.Now()) {
-					t.Errorf("token %d after %d, earlier operations ended immediately: %t", next.Fence(), token, next.PriorOperationsEnded(time.Now()))
+					t.Errorf("token %d after %d, earlier operations ended immediately: %t",
+						next.Fence(), token, next.PriorOperationsEnded(time.Now()))
 				}
 				if last := s.timeUntilAllKnow("p1", s.drain, nil); last > s.deployment.propagationBound {
 					t.Errorf("the last instance knows of the drain after %s", last)
--- a/entry/follower_test.go
+++ b/entry/follower_test.go
@@ -19,7 +19,8 @@
 	f.budget = forward.NewBudget(forward.BudgetParams{})
 	f.watcher = newTestWatcher(nil, f.dir, discardLog())
 	applyDigest := func(digest uint64) {
-		f.applyUpdate(lease.Record{Holder: "h"}, &ExchangeReply{Held: true, News: holder.Update{Fence: 1, Servers: directory.Delta{Digest: digest}}}, time.Now(), time.Now())
+		f.applyUpdate(lease.Record{Holder: "h"},
+			&ExchangeReply{Held: true, News: holder.Update{Fence: 1, Servers: directory.Delta{Digest: digest}}}, time.Now(), time.Now())
 	}
 	requestsAll := func() bool {
 		_, args := f.buildReport()
--- a/entry/leaving_outage_test.go
+++ b/entry/leaving_outage_test.go
@@ -38,7 +38,8 @@
 	time.AfterFunc(time.Millisecond, func() { s.remove("p2") })
 	last := s.timeUntilAllKnow("p1", s.drain, except)
 	removed := s.timeUntilAllKnow("p2", func(string) {}, except) + last
-	s.t.Logf("the last of %d instances knows of the draining server after %s, of the removed one after %s", len(s.all()), last, removed)
+	s.t.Logf("the last of %d instances knows of the draining server after %s, of the removed one after %s",
+		len(s.all()), last, removed)
 	if last = max(last, removed); last > s.deployment.propagationBound {
 		s.t.Errorf("the last instance knows after %s, want at most %s", last, s.deployment.propagationBound)
 	}
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -83,7 +83,8 @@
 		}
 	}
 	e := f.outcomesBetween(reported, ended)
-	t.Logf("%d attempts later than %s after the instance was informed, the last one %s after the server first reported that it is leaving; %v", late, drainBound, last, e)
+	t.Logf("%d attempts later than %s after the instance was informed, the last one %s after the server first reported that it is leaving; %v",
+		late, drainBound, last, e)
 	if late > 0 {
 		t.Errorf("%d attempts later than %s after their instance was informed that the server is leaving", late, drainBound)
 	}
--- a/entry/load_test.go
+++ b/entry/load_test.go
@@ -101,7 +101,8 @@
 }
 
 func (e outcomes) String() string {
-	return fmt.Sprintf("%d sent: %d served, %d refused (%d without Retry-After), %d failed", e.total, e.served, e.refused, e.withoutRetryAfter, e.failed)
+	return fmt.Sprintf("%d sent: %d served, %d refused (%d without Retry-After), %d failed",
+		e.total, e.served, e.refused, e.withoutRetryAfter, e.failed)
 }
 
 // outcomesBetween counts the outcomes of the requests that were sent from one time until before another.
--- a/entry/operators_serverlimiter_test.go
+++ b/entry/operators_serverlimiter_test.go
@@ -20,7 +20,8 @@
 	f := newFleetWith(t, 1, Options{OperatorsPort: testOperatorsPort})
 	r := f.instances[0]
 	f.await("a holder", func() bool { return f.holder() != nil })
-	f.servers["e1"].SetBackpressure(standin.Backpressure{Limit: "1.5", Leaving: true}) // the holder may read its state meanwhile
+	// The holder may read the state of the engine meanwhile.
+	f.servers["e1"].SetBackpressure(standin.Backpressure{Limit: "1.5", Leaving: true})
 	now := clock.Now()
 	r.limiter.observe(serving.Advisory{Server: "e1", Sent: now, Heard: now, Limited: true, Rate: 1.5, Leaving: true})
 	r.limiter.observe(serving.Advisory{Server: "e2", Sent: now, Heard: now, RetryAfter: time.Minute})
--- a/entry/operators_test.go
+++ b/entry/operators_test.go
@@ -158,7 +158,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	confirm := &martenportv1.ConfirmRequest{PlanId: plan.Msg.PlanId, BaseGeneration: plan.Msg.BaseGeneration, Declaration: []byte(limitedDeclaration)}
+	confirm := &martenportv1.ConfirmRequest{
+		PlanId: plan.Msg.PlanId, BaseGeneration: plan.Msg.BaseGeneration, Declaration: []byte(limitedDeclaration),
+	}
 	for range 2 { // a repeated confirm changes nothing
 		accepted, err := client.Confirm(ctx, connect.NewRequest(confirm))
 		if err != nil || accepted.Msg.Generation != 1 {
--- a/entry/ratelimit_test.go
+++ b/entry/ratelimit_test.go
@@ -33,7 +33,8 @@
 	f.t.Helper()
 	for i, s := range f.engines {
 		if n := maxArrivalsInWindow(s, limitWindow, reported.Add(limitSettleTime), cleared); n > maxArrivalsAtLimit(rate) {
-			f.t.Errorf("engine %d with a limit of %v requests per second got %d in %s, want at most %d", i+1, rate, n, limitWindow, maxArrivalsAtLimit(rate))
+			f.t.Errorf("engine %d with a limit of %v requests per second got %d in %s, want at most %d",
+				i+1, rate, n, limitWindow, maxArrivalsAtLimit(rate))
 		}
 	}
 }
@@ -59,13 +60,15 @@
 	ended := time.Now()
 	f.stopLoad()
 	if n := maxArrivalsInWindow(limited, limitWindow, reported.Add(limitSettleTime), cleared); n > maxArrivalsAtLimit(1.5) {
-		t.Errorf("an engine with a limit of 1.5 requests per second got %d in %s, want at most %d", n, limitWindow, maxArrivalsAtLimit(1.5))
+		t.Errorf("an engine with a limit of 1.5 requests per second got %d in %s, want at most %d",
+			n, limitWindow, maxArrivalsAtLimit(1.5))
 	}
 	if n := countArrivals(limited, reported.Add(limitSettleTime), cleared); n == 0 {
 		t.Error("an engine with a limit of 1.5 requests per second got none")
 	}
 	e := f.outcomesBetween(reported, ended)
-	t.Logf("the engine got at most %d in %s; %v", maxArrivalsInWindow(limited, limitWindow, reported.Add(limitSettleTime), cleared), limitWindow, e)
+	t.Logf("the engine got at most %d in %s; %v",
+		maxArrivalsInWindow(limited, limitWindow, reported.Add(limitSettleTime), cleared), limitWindow, e)
 	if e.failed > 0 || 50*e.refused > e.total {
 		t.Errorf("%v: want none failed, and at most 2%% refused while other engines have capacity", e)
 	}
@@ -98,8 +101,10 @@
 		t.Errorf("%v: want none failed, and a Retry-After for each refused", e)
 	}
 	// The expected number comes from the requests sent, since a delay of the machine also delays the load.
-	t.Logf("the engines got at most %d, %d and %d in %s; %v", maxArrivalsInWindow(f.engines[0], limitWindow, reported.Add(limitSettleTime), cleared),
-		maxArrivalsInWindow(f.engines[1], limitWindow, reported.Add(limitSettleTime), cleared), maxArrivalsInWindow(f.engines[2], limitWindow, reported.Add(limitSettleTime), cleared), limitWindow, e)
+	t.Logf("the engines got at most %d, %d and %d in %s; %v",
+		maxArrivalsInWindow(f.engines[0], limitWindow, reported.Add(limitSettleTime), cleared),
+		maxArrivalsInWindow(f.engines[1], limitWindow, reported.Add(limitSettleTime), cleared),
+		maxArrivalsInWindow(f.engines[2], limitWindow, reported.Add(limitSettleTime), cleared), limitWindow, e)
 	accepted := 3 * 4 * loadPause.Seconds() * float64(e.total)
 	if float64(e.served) < 0.8*accepted {
 		t.Errorf("%v: want at least 80%% of the %.0f that the engines accept served", e, accepted)
