--- a/backend/http.go
+++ b/backend/http.go
@@ -71,7 +71,7 @@
 // NewTransport returns a connection pool to be shared by the clients of all backend
 // servers.
 func NewTransport() *http.Transport {
-	dial := tcpdial.Params{Connect: dialTimeout, Silence: ackTimeout}
+	dial := tcpdial.Params{Connect: dialTimeout, UnackedTimeout: ackTimeout}
 	return &http.Transport{DialContext: dial.Dial, MaxIdleConnsPerHost: 64, IdleConnTimeout: 90 * time.Second, DisableCompression: true}
 }
 
@@ -206,5 +206,5 @@
 		v = verdict.NotRun
 	}
 	f := verdict.New(v, verdict.ReasonBackend, "backend server: status %d: %s", resp.StatusCode, r.Error)
-	return f.After(time.Duration(r.RetryAfterMS) * time.Millisecond)
+	return f.WithRetryAfter(time.Duration(r.RetryAfterMS) * time.Millisecond)
 }
--- a/backend/http_test.go
+++ b/backend/http_test.go
@@ -69,7 +69,7 @@
 			if c.whole != (err == nil) {
 				t.Errorf("want complete answer: %t, got error %v", c.whole, err)
 			}
-			if err != nil && verdict.Of(err).Verdict != verdict.MayHaveRun {
+			if err != nil && verdict.FromError(err).Verdict != verdict.MayHaveRun {
 				t.Errorf("%v, want verdict MayHaveRun", err)
 			}
 		})
@@ -99,7 +99,7 @@
 			server := httptest.NewServer(c.handler)
 			defer server.Close()
 			_, err := readAll(t.Context(), newClient(server))
-			if verdict.Of(err).Verdict != c.want {
+			if verdict.FromError(err).Verdict != c.want {
 				t.Errorf("%v, want %v", err, c.want)
 			}
 		})
@@ -112,7 +112,7 @@
 		address := l.Addr().String()
 		_ = l.Close()
 		unreachable := backend.NewHTTP("http://"+address, &http.Client{Transport: backend.NewTransport()}, "")
-		if _, err := readAll(t.Context(), unreachable); verdict.Of(err).Verdict != verdict.NotRun {
+		if _, err := readAll(t.Context(), unreachable); verdict.FromError(err).Verdict != verdict.NotRun {
 			t.Errorf("request without a listener: %v, want verdict NotRun", err)
 		}
 		if _, err := unreachable.Load(t.Context(), backend.Order{}); !errors.Is(err, backend.ErrRefused) {
--- a/command/access/access.go
+++ b/command/access/access.go
@@ -106,7 +106,7 @@
 func NoRoute(c *serving.Config, r *serving.Request, f Freshness, p Policy) *verdict.Failure {
 	if !p.AbsenceIsCertain(f) {
 		return verdict.Refuse(verdict.ReasonPlatform, "no route of configuration %d for %s%s, and that may be out of date: the last word is %s old",
-			c.Version, r.Host, r.Path(), f.Age.Round(time.Millisecond)).After(outdatedRetryAfter)
+			c.Version, r.Host, r.Path(), f.Age.Round(time.Millisecond)).WithRetryAfter(outdatedRetryAfter)
 	}
 	return verdict.Refuse(verdict.ReasonNoRoute, "no route of configuration %d for %s%s", c.Version, r.Host, r.Path())
 }
@@ -118,14 +118,14 @@
 		return nil, nil
 	}
 	if !p.KeysTrusted(f.Age) {
-		return nil, verdict.Refuse(verdict.ReasonPlatform, "it is not known whether keys were taken away, the last word is %s old", f.Age.Round(time.Millisecond)).After(f.retryAfter())
+		return nil, verdict.Refuse(verdict.ReasonPlatform, "it is not known whether keys were taken away, the last word is %s old", f.Age.Round(time.Millisecond)).WithRetryAfter(f.retryAfter())
 	}
 	workspace, detail := findWorkspace(c, credential)
 	switch {
 	case workspace != nil:
 		return workspace, nil
 	case !p.AbsenceIsCertain(f):
-		return nil, verdict.Refuse(verdict.ReasonPlatform, "%s as far as is known, and that may be out of date", detail).After(outdatedRetryAfter)
+		return nil, verdict.Refuse(verdict.ReasonPlatform, "%s as far as is known, and that may be out of date", detail).WithRetryAfter(outdatedRetryAfter)
 	}
 	return nil, verdict.Refuse(verdict.ReasonUnauthorized, "%s", detail)
 }
--- a/command/admission/admission_test.go
+++ b/command/admission/admission_test.go
@@ -18,7 +18,7 @@
 	a, _ := g.Admit("m", "x", 0)
 	b, _ := g.Admit("m", "y", 0)
 	for _, c := range []struct{ model, caller string }{{"m", "z"}, {"m", "x"}} {
-		if _, err := g.Admit(c.model, c.caller, 0); verdict.Of(err).Reason != verdict.ReasonQueueFull || verdict.Of(err).RetryAfter == 0 {
+		if _, err := g.Admit(c.model, c.caller, 0); verdict.FromError(err).Reason != verdict.ReasonQueueFull || verdict.FromError(err).RetryAfter == 0 {
 			t.Errorf("third request for the model: %v, want a refusal with ReasonQueueFull and a retry delay", err)
 		}
 	}
@@ -26,13 +26,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := g.Admit("o", "w", 0); verdict.Of(err).Verdict != verdict.NotRun {
+	if _, err := g.Admit("o", "w", 0); verdict.FromError(err).Verdict != verdict.NotRun {
 		t.Errorf("fourth request: %v, want verdict NotRun", err)
 	}
 	a.Done(nil)
 	b.Done(verdict.Refuse(verdict.ReasonDeadline, "late"))
 	idle := g.Drain()
-	if _, err := g.Admit("m", "x", 0); verdict.Of(err).Reason != verdict.ReasonDraining {
+	if _, err := g.Admit("m", "x", 0); verdict.FromError(err).Reason != verdict.ReasonDraining {
 		t.Errorf("request while draining: %v, want ReasonDraining", err)
 	}
 	select {
@@ -99,7 +99,7 @@
 		q := NewQueue(QueueParams{MaxWaiting: 100, RetryAfter: time.Second, Refuse: true})
 		start := time.Now()
 		err := q.Wait(t.Context(), Waiter{Model: "m", Deadline: start.Add(time.Second), ServiceTime: time.Minute}, func() bool { return false })
-		if f := verdict.Of(err); f.Verdict != verdict.NotRun || f.RetryAfter == 0 || time.Since(start) > 0 {
+		if f := verdict.FromError(err); f.Verdict != verdict.NotRun || f.RetryAfter == 0 || time.Since(start) > 0 {
 			t.Errorf("%v after %v, want an immediate NotRun with a retry delay", err, time.Since(start))
 		}
 	})
--- a/command/admission/gate.go
+++ b/command/admission/gate.go
@@ -89,11 +89,11 @@
 		modelLimit = g.params.MaxPerModel
 	}
 	refuse := func(what string, limit int) error {
-		return verdict.Refuse(verdict.ReasonQueueFull, "%s has %d requests here", what, limit).After(g.params.RetryAfter)
+		return verdict.Refuse(verdict.ReasonQueueFull, "%s has %d requests here", what, limit).WithRetryAfter(g.params.RetryAfter)
 	}
 	switch {
 	case g.draining:
-		return verdict.Refuse(verdict.ReasonDraining, "instance is leaving, send the request again").After(time.Millisecond)
+		return verdict.Refuse(verdict.ReasonDraining, "instance is leaving, send the request again").WithRetryAfter(time.Millisecond)
 	case g.counts.Running >= int64(g.params.MaxRequests):
 		return refuse("the instance", g.params.MaxRequests)
 	case g.byModel[model] >= modelLimit:
@@ -125,7 +125,7 @@
 	if err == nil {
 		return &g.counts.Answered
 	}
-	f := verdict.Of(err)
+	f := verdict.FromError(err)
 	switch {
 	case f.Reason == verdict.ReasonCancelled:
 		return &g.counts.Cancelled
@@ -177,9 +177,9 @@
 	return g.counts
 }
 
-// Waiting returns the number of requests for a model that are in progress or
+// Pending returns the number of requests for a model that are in progress or
 // queued.
-func (g *Gate) Waiting(model string) int {
+func (g *Gate) Pending(model string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.byModel[model]
--- a/command/admission/queue.go
+++ b/command/admission/queue.go
@@ -98,7 +98,7 @@
 	if !e.late {
 		return nil
 	}
-	return verdict.Refuse(verdict.ReasonDeadline, "no room on a replica of %s in time", w.Model).After(q.params.RetryAfter)
+	return verdict.Refuse(verdict.ReasonDeadline, "no room on a replica of %s in time", w.Model).WithRetryAfter(q.params.RetryAfter)
 }
 
 // enqueue grants the request immediately (nil entry and nil error), refuses it,
@@ -115,10 +115,10 @@
 		q.models = append(q.models, m)
 	}
 	if len(m.waiting) >= q.params.MaxWaiting {
-		return nil, verdict.Refuse(verdict.ReasonQueueFull, "%d requests wait for %s here", len(m.waiting), w.Model).After(q.retryAfter(m))
+		return nil, verdict.Refuse(verdict.ReasonQueueFull, "%d requests wait for %s here", len(m.waiting), w.Model).WithRetryAfter(q.retryAfter(m))
 	}
 	if wait := m.estimate(w); q.params.Refuse && !w.feasible(wait) {
-		return nil, verdict.Refuse(verdict.ReasonDeadline, "the line for %s takes %v", w.Model, wait.Round(time.Millisecond)).After(max(wait, q.params.RetryAfter))
+		return nil, verdict.Refuse(verdict.ReasonDeadline, "the line for %s takes %v", w.Model, wait.Round(time.Millisecond)).WithRetryAfter(max(wait, q.params.RetryAfter))
 	}
 	e := &entry{Waiter: w, tryReserve: tryReserve, granted: make(chan struct{})}
 	if len(m.waiting) == 0 {
--- a/command/dispatch/acquire.go
+++ b/command/dispatch/acquire.go
@@ -99,7 +99,7 @@
 // state of an engine changes, until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
 	for {
-		_, changed := d.tables.Engines.Mark()
+		_, changed := d.tables.Engines.Changes()
 		d.queue.GrantWaiting()
 		d.scaleUpBusy(ctx)
 		select {
@@ -160,7 +160,7 @@
 func (d *Dispatcher) preferReachable(replicas []table.EngineView) []table.EngineView {
 	var out []table.EngineView
 	for _, r := range replicas {
-		if d.tables.Members.Populated(r.FailureDomain) {
+		if d.tables.Members.HasAlive(r.FailureDomain) {
 			out = append(out, r)
 		}
 	}
@@ -195,7 +195,7 @@
 	ctx, cancel := context.WithTimeout(ctx, residentTimeout)
 	defer cancel()
 	for {
-		_, changed := d.tables.Engines.Mark()
+		_, changed := d.tables.Engines.Changes()
 		if len(d.replicas(index, []backend.Unit{missing})) > 0 || len(d.replicas(index, units)) > 0 {
 			return nil
 		}
--- a/command/dispatch/attempt.go
+++ b/command/dispatch/attempt.go
@@ -52,14 +52,14 @@
 	if err == nil {
 		return false
 	}
-	reason := verdict.Of(err).Reason
+	reason := verdict.FromError(err).Reason
 	return reason == verdict.ReasonBackend || reason == verdict.ReasonBroken
 }
 
 // cancelAttempt asks the engine, in the background, to cancel a failed attempt
 // that may still be running.
 func (d *Dispatcher) cancelAttempt(ctx context.Context, engine backend.Engine, a backend.Attempt, err error) {
-	if verdict.Of(err).Verdict == verdict.NotRun {
+	if verdict.FromError(err).Verdict == verdict.NotRun {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), d.params.CancelTimeout)
@@ -77,7 +77,7 @@
 		if err == nil {
 			return nil
 		}
-		f := verdict.Of(err)
+		f := verdict.FromError(err)
 		if a.Resume {
 			// NotRun from the engine covers only the resumption, not the original attempt.
 			f = f.WithVerdict(max(f.Verdict, verdict.MayHaveRun))
--- a/command/dispatch/call.go
+++ b/command/dispatch/call.go
@@ -51,7 +51,7 @@
 		if err == nil {
 			return body, nil
 		}
-		f := verdict.Of(err)
+		f := verdict.FromError(err)
 		worst = max(worst, f.Verdict)
 		if attempt == c.dispatcher.params.MaxAttempts || !verdict.Retryable(err, method.Idempotent) || !c.dispatcher.budget.spend() {
 			return nil, f.WithVerdict(worst)
@@ -103,7 +103,7 @@
 	done(isServerFault(err))
 	if err != nil {
 		d.events.Record(event.Event{Kind: event.KindAttemptFail, Request: req.ID, Engine: server.Name, Detail: err.Error()})
-		return nil, withContextReason(ctx, verdict.Of(err))
+		return nil, withContextReason(ctx, verdict.FromError(err))
 	}
 	return body, nil
 }
--- a/command/dispatch/call_test.go
+++ b/command/dispatch/call_test.go
@@ -83,7 +83,7 @@
 		if method == "confirm" && s.mayRun > 1 {
 			t.Fatalf("%d attempts of a non-idempotent call may have run, want at most 1", s.mayRun)
 		}
-		if err != nil && verdict.Of(err).Verdict == verdict.NotRun && s.mayRun > 0 {
+		if err != nil && verdict.FromError(err).Verdict == verdict.NotRun && s.mayRun > 0 {
 			t.Fatalf("verdict NotRun (%v), but %d attempts may have run", err, s.mayRun)
 		}
 		for i, address := range s.calls {
--- a/command/dispatch/dispatch.go
+++ b/command/dispatch/dispatch.go
@@ -76,9 +76,9 @@
 	// Wake ensures that at least one replica of u is loaded and returns the name
 	// of its engine.
 	Wake(ctx context.Context, u backend.Unit) (string, error)
-	// Grow loads one replica more than the given number, if the declared limit
+	// ScaleUp loads one replica more than the given number, if the declared limit
 	// and the engines' memory permit.
-	Grow(ctx context.Context, u backend.Unit, replicas int) error
+	ScaleUp(ctx context.Context, u backend.Unit, replicas int) error
 	// LoadTime returns the expected duration of a load of the given number of
 	// bytes with nothing cached.
 	LoadTime(memory int64) time.Duration
@@ -119,7 +119,7 @@
 		if err == nil {
 			return result, nil
 		}
-		f := verdict.Of(err)
+		f := verdict.FromError(err)
 		worst = max(worst, f.Verdict)
 		if attempt == d.params.MaxAttempts || !verdict.Retryable(err, req.Idempotent) || !sink.Restart() || !d.budget.spend() {
 			return result, f.WithVerdict(worst)
--- a/command/dispatch/dispatch_test.go
+++ b/command/dispatch/dispatch_test.go
@@ -116,8 +116,8 @@
 
 func (fakeWaker) Wake(context.Context, backend.Unit) (string, error) { return "e1", nil }
 
-func (fakeWaker) Grow(context.Context, backend.Unit, int) error { return nil }
-func (fakeWaker) LoadTime(int64) time.Duration                  { return time.Hour }
+func (fakeWaker) ScaleUp(context.Context, backend.Unit, int) error { return nil }
+func (fakeWaker) LoadTime(int64) time.Duration                     { return time.Hour }
 
 // newDispatcher returns a Dispatcher with one model that is resident on two
 // engines, both served by e.
@@ -192,7 +192,7 @@
 				switch {
 				case c.want == 0 && (err != nil || sink.String() != completeAnswer):
 					t.Errorf("answer %q, error %v, want the complete answer", sink.String(), err)
-				case c.want != 0 && (err == nil || verdict.Of(err).Verdict != c.want):
+				case c.want != 0 && (err == nil || verdict.FromError(err).Verdict != c.want):
 					t.Errorf("error %v, want verdict %v", err, c.want)
 				}
 				if c.want == verdict.MayHaveRun && e.cancelled.Load() == 0 {
@@ -227,7 +227,7 @@
 		if err == nil && sink.String() != completeAnswer {
 			t.Fatalf("incomplete answer %q", sink.String())
 		}
-		if err != nil && verdict.Of(err).Verdict == verdict.NotRun && e.mayRun > 0 {
+		if err != nil && verdict.FromError(err).Verdict == verdict.NotRun && e.mayRun > 0 {
 			t.Fatalf("verdict NotRun (%v), but %d attempts may have run", err, e.mayRun)
 		}
 	})
@@ -245,7 +245,7 @@
 		}
 		d := newDispatcher(t, e)
 		for range requests {
-			if err := d.generate(&textSink{}, true); verdict.Of(err).Verdict != verdict.NotRun {
+			if err := d.generate(&textSink{}, true); verdict.FromError(err).Verdict != verdict.NotRun {
 				t.Fatal(err)
 			}
 		}
--- a/command/dispatch/scaleup.go
+++ b/command/dispatch/scaleup.go
@@ -35,7 +35,7 @@
 			defer d.endScaleUp(name)
 			ctx, cancel := context.WithTimeout(ctx, scaleUpTimeout)
 			defer cancel()
-			_ = d.waker.Grow(ctx, unit, have)
+			_ = d.waker.ScaleUp(ctx, unit, have)
 		}()
 	}
 }
--- a/command/forward/access_test.go
+++ b/command/forward/access_test.go
@@ -27,7 +27,7 @@
 func (f *fakeAccess) Policy() access.Policy                        { return f.policy }
 func (f *fakeAccess) Draw(_ context.Context, w *serving.Workspace, cost float64) (func(), *verdict.Failure) {
 	if f.remaining < cost {
-		return nil, verdict.Refuse(verdict.ReasonOverLimit, "workspace %s", w.Name).After(time.Second)
+		return nil, verdict.Refuse(verdict.ReasonOverLimit, "workspace %s", w.Name).WithRetryAfter(time.Second)
 	}
 	f.remaining -= cost
 	f.drawn += cost
--- a/command/forward/choose.go
+++ b/command/forward/choose.go
@@ -59,7 +59,7 @@
 	if t.last != nil {
 		return t.lastFailure("no other server is left")
 	}
-	return verdict.Refuse(verdict.ReasonNoReplica, "no server of %s can be asked, of %d known", t.service.Name, known).After(noServerRetryAfter)
+	return verdict.Refuse(verdict.ReasonNoReplica, "no server of %s can be asked, of %d known", t.service.Name, known).WithRetryAfter(noServerRetryAfter)
 }
 
 // chooseEngine picks among the engines that have the unit, or requests that the unit be loaded.
--- a/command/forward/forward.go
+++ b/command/forward/forward.go
@@ -147,7 +147,7 @@
 func (f *Forwarder) drainingFailure() *verdict.Failure {
 	select {
 	case <-f.leaving:
-		return verdict.Refuse(verdict.ReasonDraining, "the instance is leaving").After(leavingRetryAfter)
+		return verdict.Refuse(verdict.ReasonDraining, "the instance is leaving").WithRetryAfter(leavingRetryAfter)
 	default:
 		return nil
 	}
@@ -161,10 +161,10 @@
 	f.counts.requestAccepted()
 	config, known := f.access.Current()
 	if config == nil {
-		return f.recordRefusal(r, verdict.Refuse(verdict.ReasonPlatform, "no configuration is known yet").After(noConfigRetryAfter))
+		return f.recordRefusal(r, verdict.Refuse(verdict.ReasonPlatform, "no configuration is known yet").WithRetryAfter(noConfigRetryAfter))
 	}
 	if !f.guard.Ready() {
-		return f.recordRefusal(r, verdict.Refuse(verdict.ReasonPlatform, "it is not known yet which requests are held").After(noConfigRetryAfter))
+		return f.recordRefusal(r, verdict.Refuse(verdict.ReasonPlatform, "it is not known yet which requests are held").WithRetryAfter(noConfigRetryAfter))
 	}
 	route := config.Match(r.Host, r.Path())
 	if route == nil {
--- a/command/forward/guard.go
+++ b/command/forward/guard.go
@@ -122,9 +122,9 @@
 		t.trial = trial
 		return true, nil
 	case !errors.Is(err, ErrTrialBusy):
-		return false, verdict.Refuse(verdict.ReasonPlatform, "servers ended while the request ran there, and nobody can let it run alone: %v", err).After(noTrialRetryAfter)
+		return false, verdict.Refuse(verdict.ReasonPlatform, "servers ended while the request ran there, and nobody can let it run alone: %v", err).WithRetryAfter(noTrialRetryAfter)
 	case clock.Until(t.nextOutputDeadline()) < t.f.params.FirstEvent+trialPollInterval:
-		return false, verdict.Refuse(verdict.ReasonQueueFull, "servers ended while the request ran there, and others run alone before it").After(noTrialRetryAfter)
+		return false, verdict.Refuse(verdict.ReasonQueueFull, "servers ended while the request ran there, and others run alone before it").WithRetryAfter(noTrialRetryAfter)
 	}
 	return false, t.pauseFor(ctx, trialPollInterval)
 }
--- a/command/forward/overload.go
+++ b/command/forward/overload.go
@@ -28,5 +28,5 @@
 		return nil
 	}
 	return verdict.Refuse(verdict.ReasonQueueFull, "more is asked of %s than its engines serve, %.2f of such requests are admitted",
-		t.request.Unit.Model, share).After(overloadRetryAfter)
+		t.request.Unit.Model, share).WithRetryAfter(overloadRetryAfter)
 }
--- a/command/forward/relay.go
+++ b/command/forward/relay.go
@@ -103,7 +103,7 @@
 func (t *transaction) relayBody(resp *serving.Response) *verdict.Failure {
 	prefix, err := io.ReadAll(io.LimitReader(resp.Body, maxBuffered))
 	if err != nil {
-		return verdict.New(verdict.MayHaveRun, verdict.ReasonBackend, "the answer broke off: %v", err).From(err)
+		return verdict.New(verdict.MayHaveRun, verdict.ReasonBackend, "the answer broke off: %v", err).WithCause(err)
 	}
 	t.out.start(resp)
 	if _, err := t.out.Write(prefix); err != nil {
@@ -113,7 +113,7 @@
 		return nil
 	}
 	if _, err := io.Copy(t.out, resp.Body); err != nil {
-		return verdict.New(verdict.MayHaveRun, verdict.ReasonBroken, "the answer broke off: %v", err).From(err)
+		return verdict.New(verdict.MayHaveRun, verdict.ReasonBroken, "the answer broke off: %v", err).WithCause(err)
 	}
 	return nil
 }
@@ -132,7 +132,7 @@
 			return t.finishEvents(resp, e)
 		}
 		if err != nil {
-			return verdict.New(verdict.MayHaveRun, verdict.ReasonBackend, "the stream broke off after event %q: %v", t.out.lastEventID, err).From(err)
+			return verdict.New(verdict.MayHaveRun, verdict.ReasonBackend, "the stream broke off after event %q: %v", t.out.lastEventID, err).WithCause(err)
 		}
 		t.recordEventReceived(clock.Now())
 		if t.alreadySent(e) {
--- a/command/forward/serverlimiter.go
+++ b/command/forward/serverlimiter.go
@@ -174,7 +174,7 @@
 	spread := min(maxRetrySpread, time.Duration(retrySpreadFraction*float64(wait)))
 	after := wait + time.Duration(rand.Float64()*float64(spread))
 	return verdict.Refuse(verdict.ReasonHeldBack, "no server of %s that could run it takes anything for %s: all limit what they take, or rest",
-		t.service.Name, round(wait)).After(after)
+		t.service.Name, round(wait)).WithRetryAfter(after)
 }
 
 // unavailableServers returns the IDs of the servers for which the request last waited or was
--- a/command/forward/transaction.go
+++ b/command/forward/transaction.go
@@ -199,7 +199,7 @@
 	if t.last == nil {
 		return verdict.Refuse(verdict.ReasonBackend, "%s", reason)
 	}
-	return verdict.New(t.last.Verdict, t.last.Reason, "%s; %s", t.last.Detail, reason).After(t.f.params.RetryPause)
+	return verdict.New(t.last.Verdict, t.last.Reason, "%s; %s", t.last.Detail, reason).WithRetryAfter(t.f.params.RetryPause)
 }
 
 // finalFailure converts the last failure into the one reported to the client.
@@ -274,7 +274,7 @@
 
 // handleSendFailure handles a send without an answer.
 func (t *transaction) handleSendFailure(ctx context.Context, server serving.Server, err error, sent time.Time, outcome *balance.Outcome) *verdict.Failure {
-	failure := verdict.Of(err)
+	failure := verdict.FromError(err)
 	t.excluded[server.ID] = true
 	switch {
 	case !errors.Is(ctx.Err(), context.Canceled):
--- a/command/forward/want.go
+++ b/command/forward/want.go
@@ -78,7 +78,7 @@
 	if !t.serverLimits.nextAvailable.IsZero() {
 		return t.heldBackFailure(wait)
 	}
-	return verdict.Refuse(verdict.ReasonDeadline, "%s takes %s to load, longer than the %s left", t.request.Unit, round(wait), round(remaining)).After(wait)
+	return verdict.Refuse(verdict.ReasonDeadline, "%s takes %s to load, longer than the %s left", t.request.Unit, round(wait), round(remaining)).WithRetryAfter(wait)
 }
 
 // maxRetryPauses bounds the growth of the pause before a server that has just refused the request
--- a/command/intent/intent.go
+++ b/command/intent/intent.go
@@ -41,15 +41,15 @@
 type Intents struct {
 	store  store.Store
 	config *table.Config
-	// populated reports whether an instance is known to be alive in a failure
+	// hasAlive reports whether an instance is known to be alive in a failure
 	// domain.
-	populated func(domain string) bool
+	hasAlive func(domain string) bool
 }
 
-// New returns the Intents of one instance. populated reports whether an instance
+// New returns the Intents of one instance. hasAlive reports whether an instance
 // is known to be alive in a failure domain.
-func New(store store.Store, config *table.Config, populated func(domain string) bool) *Intents {
-	return &Intents{store: store, config: config, populated: populated}
+func New(store store.Store, config *table.Config, hasAlive func(domain string) bool) *Intents {
+	return &Intents{store: store, config: config, hasAlive: hasAlive}
 }
 
 // Plan validates source and compares it with the newest generation, or with the
@@ -130,7 +130,7 @@
 func (i *Intents) unreachableWarnings() []string {
 	var out []string
 	for _, domain := range i.config.Index().Declaration.FailureDomains {
-		if !i.populated(domain) {
+		if !i.hasAlive(domain) {
 			out = append(out, fmt.Sprintf("failure domain %s is not reachable: it goes on with its generation, and its slots count as used, until it is back", domain))
 		}
 	}
--- a/command/intent/intent_test.go
+++ b/command/intent/intent_test.go
@@ -31,7 +31,7 @@
 
 func newIntents(s store.Store) *Intents {
 	tables := table.New(table.Member{Name: "i", FailureDomain: "a"})
-	return New(s, tables.Config, tables.Members.Populated)
+	return New(s, tables.Config, tables.Members.HasAlive)
 }
 
 // TestPlanThenConfirm checks that a confirmed plan becomes generation 1, that
@@ -54,7 +54,7 @@
 	if err != nil || again.Generation != 1 {
 		t.Errorf("repeated confirmation: generation %d, error %v, want generation 1", again.Generation, err)
 	}
-	if _, err := i.Confirm(t.Context(), plan.ID, plan.BaseGeneration, source(2)); verdict.Of(err).Reason != verdict.ReasonInvalid {
+	if _, err := i.Confirm(t.Context(), plan.ID, plan.BaseGeneration, source(2)); verdict.FromError(err).Reason != verdict.ReasonInvalid {
 		t.Errorf("confirmation of another declaration under the plan's ID: %v, want ReasonInvalid", err)
 	}
 }
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	_, err := i.Confirm(t.Context(), superseded.ID, superseded.BaseGeneration, source(1))
-	f := verdict.Of(err)
+	f := verdict.FromError(err)
 	if f.Reason != verdict.ReasonStalePlan || !strings.Contains(f.Detail, "maxReplicas 3 to 1") {
 		t.Errorf("%v, want stale_plan with the change of maxReplicas from 3 to 1", err)
 	}
@@ -130,7 +130,7 @@
 					}
 					call := time.Now().UnixNano()
 					accepted, err := i.Confirm(context.Background(), plan.ID, plan.BaseGeneration, text)
-					r := result{unknown: err != nil && verdict.Of(err).Verdict != verdict.NotRun}
+					r := result{unknown: err != nil && verdict.FromError(err).Verdict != verdict.NotRun}
 					if err == nil {
 						r.generation = accepted.Generation
 					}
--- a/command/orderer/epoch.go
+++ b/command/orderer/epoch.go
@@ -80,7 +80,7 @@
 	}
 	if o.incarnation != "" {
 		o.pastIncarnations[o.incarnation] = true
-		o.recordEvent(event.KindReclaimed, "", "incarnation="+incarnation)
+		o.recordEvent(event.KindEngineRestarted, "", "incarnation="+incarnation)
 	}
 	o.incarnation = incarnation
 	o.fenced = false
--- a/command/orderer/manager.go
+++ b/command/orderer/manager.go
@@ -19,12 +19,12 @@
 
 // Params are the settings of a Manager.
 type Params struct {
-	// Tick is the interval at which the manager looks for engines without a live orderer and
-	// reconciles its own.
-	Tick time.Duration
-	// Settle is the time after the start during which no engine is taken over, so that the
+	// ReconcileInterval is the interval at which the manager looks for engines without a live
+	// orderer and reconciles its own.
+	ReconcileInterval time.Duration
+	// StartupDelay is the time after the start during which no engine is taken over, so that the
 	// instances can discover each other first.
-	Settle time.Duration
+	StartupDelay time.Duration
 	// Workers is the number of engines that are processed concurrently.
 	Workers int
 }
@@ -72,7 +72,7 @@
 	for range m.params.Workers {
 		workers.Go(func() { m.worker(ctx) })
 	}
-	if pause.For(ctx, m.params.Settle) {
+	if pause.For(ctx, m.params.StartupDelay) {
 		m.enqueueLoop(ctx)
 	}
 	workers.Wait()
@@ -80,7 +80,7 @@
 }
 
 func (m *Manager) enqueueLoop(ctx context.Context) {
-	ticker := time.NewTicker(m.params.Tick)
+	ticker := time.NewTicker(m.params.ReconcileInterval)
 	defer ticker.Stop()
 	for {
 		m.enqueueAll()
@@ -192,7 +192,7 @@
 }
 
 // minPollInterval is the pause between two polls of an engine. After a failed poll, the pause is
-// Params.Tick.
+// Params.ReconcileInterval.
 const minPollInterval = 50 * time.Millisecond
 
 func (m *Manager) pollLoop(ctx context.Context, o *Orderer) {
@@ -202,7 +202,7 @@
 		after = next
 		gap := minPollInterval
 		if err != nil {
-			gap = m.params.Tick
+			gap = m.params.ReconcileInterval
 		}
 		if !pause.For(ctx, gap) {
 			return
--- a/command/orderer/report.go
+++ b/command/orderer/report.go
@@ -32,7 +32,7 @@
 		return after, err
 	}
 	if report.Leaving && o.env.Tables.Engines.MarkLeaving(o.declared.Name) {
-		o.recordEvent(event.KindLeaving, "", "word of the engine")
+		o.recordEvent(event.KindBackendLeaving, "", "word of the engine")
 	}
 	if err := o.lock(ctx); err != nil {
 		return after, err
--- a/command/runonce/runonce.go
+++ b/command/runonce/runonce.go
@@ -41,9 +41,9 @@
 type Params struct {
 	// Retention is how long the record of a key is kept.
 	Retention time.Duration
-	// MaxHeld is the maximum number of finished runs whose answers are kept in
+	// MaxKeptAnswers is the maximum number of finished runs whose answers are kept in
 	// memory for repeated keys.
-	MaxHeld int
+	MaxKeptAnswers int
 }
 
 // Peers requests answers from other instances.
@@ -116,7 +116,7 @@
 	if errors.Is(err, store.ErrConflict) {
 		return r.answerElsewhere(ctx, key, fingerprint)
 	}
-	return nil, nil, verdict.Refuse(verdict.ReasonPlatform, "the key cannot be recorded: %v", err).After(time.Second)
+	return nil, nil, verdict.Refuse(verdict.ReasonPlatform, "the key cannot be recorded: %v", err).WithRetryAfter(time.Second)
 }
 
 // register returns the run of the key at this instance and whether it was created
@@ -191,7 +191,7 @@
 	}
 	answer, err := r.peers.Answer(ctx, record.Instance, key)
 	if err != nil {
-		f := verdict.Of(err)
+		f := verdict.FromError(err)
 		return nil, nil, verdict.New(max(f.Verdict, verdict.MayHaveRun), verdict.ReasonKeyTaken, "instance %s recorded the key: %s", record.Instance, f.Detail)
 	}
 	return nil, answer, nil
@@ -213,7 +213,7 @@
 // is released so that the caller can retry with it.
 func (run *Run) Finish(ctx context.Context, answer []byte, err error) {
 	run.finish(answer, err)
-	if err != nil && verdict.Of(err).Verdict == verdict.NotRun {
+	if err != nil && verdict.FromError(err).Verdict == verdict.NotRun {
 		run.release(ctx)
 		return
 	}
@@ -237,13 +237,13 @@
 	run.registry.keepFinished(run)
 }
 
-// keepFinished keeps the finished run to answer repeated requests. Only the newest MaxHeld
-// finished runs are kept.
+// keepFinished keeps the finished run to answer repeated requests. Only the newest
+// MaxKeptAnswers finished runs are kept.
 func (r *Registry) keepFinished(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.finishedKeys = append(r.finishedKeys, run.key)
-	for len(r.finishedKeys) > r.params.MaxHeld {
+	for len(r.finishedKeys) > r.params.MaxKeptAnswers {
 		delete(r.runs, r.finishedKeys[0])
 		r.finishedKeys = r.finishedKeys[1:]
 	}
--- a/command/runonce/runonce_test.go
+++ b/command/runonce/runonce_test.go
@@ -65,7 +65,7 @@
 func (d *registryDirectory) restart(name string, store store.Store) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.registries[name] = NewRegistry(Params{Retention: time.Hour, MaxHeld: 100}, name, store, d)
+	d.registries[name] = NewRegistry(Params{Retention: time.Hour, MaxKeptAnswers: 100}, name, store, d)
 }
 
 // Answer implements Peers.
@@ -173,7 +173,7 @@
 	defer cancel()
 	run, answer, err := r.Begin(ctx, in.key, in.content)
 	if run == nil {
-		return outcome{answered: err == nil, answer: string(answer), notRun: err != nil && verdict.Of(err).Verdict == verdict.NotRun}
+		return outcome{answered: err == nil, answer: string(answer), notRun: err != nil && verdict.FromError(err).Verdict == verdict.NotRun}
 	}
 	time.Sleep(time.Duration(roll(100)) * time.Millisecond)
 	if roll(6) == 0 { // no replica available, the request does not run
@@ -199,7 +199,7 @@
 	}
 	run.Finish(t.Context(), []byte("answer"), nil)
 	for _, name := range []string{"a", "b"} {
-		if _, _, err := d.get(name).Begin(t.Context(), "k", "other"); verdict.Of(err).Reason != verdict.ReasonKeyReused {
+		if _, _, err := d.get(name).Begin(t.Context(), "k", "other"); verdict.FromError(err).Reason != verdict.ReasonKeyReused {
 			t.Errorf("key with other content at %s: %v, want key_reused", name, err)
 		}
 		if _, answer, err := d.get(name).Begin(t.Context(), "k", "content"); err != nil || string(answer) != "answer" {
@@ -207,7 +207,7 @@
 		}
 	}
 	d.restart("a", store)
-	if _, _, err := d.get("b").Begin(t.Context(), "k", "content"); verdict.Of(err).Verdict != verdict.MayHaveRun {
+	if _, _, err := d.get("b").Begin(t.Context(), "k", "content"); verdict.FromError(err).Verdict != verdict.MayHaveRun {
 		t.Errorf("repeated key after a restart of the recording instance: %v, want MayHaveRun", err)
 	}
 }
@@ -217,9 +217,9 @@
 func TestStoreUnavailable(t *testing.T) {
 	store := standin.NewPlatform()
 	store.SetDown(true)
-	r := NewRegistry(Params{MaxHeld: 1}, "a", store, nil)
+	r := NewRegistry(Params{MaxKeptAnswers: 1}, "a", store, nil)
 	_, _, err := r.Begin(t.Context(), "k", "c")
-	if f := verdict.Of(err); f.Verdict != verdict.NotRun || f.Reason != verdict.ReasonPlatform || f.RetryAfter == 0 {
+	if f := verdict.FromError(err); f.Verdict != verdict.NotRun || f.Reason != verdict.ReasonPlatform || f.RetryAfter == 0 {
 		t.Errorf("%v, want NotRun with ReasonPlatform and a retry delay", err)
 	}
 }
@@ -227,7 +227,7 @@
 // TestSweep checks that Sweep deletes records only after the retention time.
 func TestSweep(t *testing.T) {
 	store := standin.NewPlatform()
-	r := NewRegistry(Params{Retention: time.Hour, MaxHeld: 10}, "a", store, nil)
+	r := NewRegistry(Params{Retention: time.Hour, MaxKeptAnswers: 10}, "a", store, nil)
 	run, _, err := r.Begin(t.Context(), "k", "c")
 	if err != nil {
 		t.Fatal(err)
--- a/command/wake/coordinate.go
+++ b/command/wake/coordinate.go
@@ -24,13 +24,13 @@
 func (w *Waker) runWake(ctx context.Context, u backend.Unit, latest func() time.Time) (string, error) {
 	w.env.Events.Record(event.Event{Kind: event.KindWake, Model: u.ID(), Detail: "version=" + u.Version})
 	for {
-		_, changed := w.env.Tables.Engines.Mark()
+		_, changed := w.env.Tables.Engines.Changes()
 		engine, err := w.tryLoad(ctx, u, latest())
 		if err == nil || !w.mayRecover(u, err) {
 			return engine, err
 		}
 		if time.Until(latest()) < w.params.RetryInterval {
-			return "", verdict.Of(err).After(w.params.RetryAfter)
+			return "", verdict.FromError(err).WithRetryAfter(w.params.RetryAfter)
 		}
 		if !awaitChange(ctx, changed, w.params.RetryInterval) {
 			return "", verdict.Refuse(verdict.ReasonDeadline, "nobody waits for %s any more", u.ID())
@@ -79,7 +79,7 @@
 	if err == nil {
 		return c.Engine, nil
 	}
-	if f := verdict.Of(err); f.Reason == verdict.ReasonNoSlot {
+	if f := verdict.FromError(err); f.Reason == verdict.ReasonNoSlot {
 		return w.loadWithBoundSlot(ctx, c, u, f.Engines, latest)
 	}
 	return "", err
@@ -95,7 +95,7 @@
 		return placement.Candidate{}, err
 	}
 	req := placement.LoadRequest{Unit: u, MemoryBytes: memory, FailureDomain: w.env.Tables.Members.Self().FailureDomain}
-	lastErr := error(verdict.Refuse(verdict.ReasonNoReplica, "no engine has room for %s", u.ID()).After(w.params.RetryAfter))
+	lastErr := error(verdict.Refuse(verdict.ReasonNoReplica, "no engine has room for %s", u.ID()).WithRetryAfter(w.params.RetryAfter))
 	for i, c := range w.env.Policy.Rank(req, index, engines) {
 		if i == w.params.EnginesPerAttempt || ctx.Err() != nil {
 			break
@@ -103,7 +103,7 @@
 		if lastErr = w.loadOn(ctx, c.Engine, c.Orderer, u, latest); lastErr == nil {
 			return c, nil
 		}
-		switch verdict.Of(lastErr).Reason {
+		switch verdict.FromError(lastErr).Reason {
 		case verdict.ReasonNoSlot, verdict.ReasonPlatform:
 			return c, lastErr // the other engines would fail in the same way
 		}
@@ -150,7 +150,7 @@
 	}
 	f := verdict.Refuse(verdict.ReasonNoReplica, "the replicas of %s that operators allow belong to %v, which cannot be reached or have no room", u.ID(), bound)
 	f.Engines = bound
-	return "", f.After(w.params.RetryAfter)
+	return "", f.WithRetryAfter(w.params.RetryAfter)
 }
 
 func (w *Waker) slotHolders(model string) []table.EngineView {
@@ -251,6 +251,6 @@
 	case errors.Is(err, store.ErrUnavailable), errors.Is(err, store.ErrUnknown), errors.Is(err, store.ErrConflict):
 		return verdict.Refuse(verdict.ReasonPlatform, "%v", err)
 	default:
-		return verdict.Of(err).WithVerdict(verdict.NotRun)
+		return verdict.FromError(err).WithVerdict(verdict.NotRun)
 	}
 }
--- a/command/wake/recover.go
+++ b/command/wake/recover.go
@@ -12,7 +12,7 @@
 // because an engine's orderer is being replaced or models in use may become idle. Causes that only
 // operators or the end of a network partition can remove are not retried.
 func (w *Waker) mayRecover(u backend.Unit, err error) bool {
-	f := verdict.Of(err)
+	f := verdict.FromError(err)
 	switch {
 	case f.Reason == verdict.ReasonNotOrderer || f.Reason == verdict.ReasonBackend:
 		return true
@@ -38,7 +38,7 @@
 // engine's slots can be used or released.
 func (w *Waker) domainReachable(engine string) bool {
 	declared, found := w.env.Tables.Config.Index().Engines[engine]
-	return found && w.env.Tables.Members.Populated(declared.FailureDomain)
+	return found && w.env.Tables.Members.HasAlive(declared.FailureDomain)
 }
 
 // awaitsOrderer reports whether an engine on which the model is allowed has no live orderer
@@ -50,7 +50,7 @@
 		return false
 	}
 	for _, declared := range index.Engines {
-		if declared.Lost || !model.AllowedIn(declared.FailureDomain) || !w.env.Tables.Members.Populated(declared.FailureDomain) {
+		if declared.Lost || !model.AllowedIn(declared.FailureDomain) || !w.env.Tables.Members.HasAlive(declared.FailureDomain) {
 			continue
 		}
 		view, known := w.env.Tables.Engines.Get(declared.Name)
--- a/command/wake/streams.go
+++ b/command/wake/streams.go
@@ -62,7 +62,7 @@
 	for {
 		select {
 		case <-ticker.C:
-		case <-w.gate.News():
+		case <-w.gate.Changed():
 		case <-ctx.Done():
 			return
 		}
--- a/command/wake/wake.go
+++ b/command/wake/wake.go
@@ -72,9 +72,9 @@
 	return w.env.Policy.LoadTime(backend.TierRemote, memory)
 }
 
-// Grow loads one more replica than the given number. All instances that see the same number request
-// the same replica from the coordinator.
-func (w *Waker) Grow(ctx context.Context, u backend.Unit, replicas int) error {
+// ScaleUp loads one more replica than the given number. All instances that see the same number
+// request the same replica from the coordinator.
+func (w *Waker) ScaleUp(ctx context.Context, u backend.Unit, replicas int) error {
 	latest, _ := ctx.Deadline()
 	_, err := w.callCoordinator(ctx, u, replicas, latest)
 	return err
@@ -92,10 +92,10 @@
 	})
 }
 
-// Hold coordinates a wake for an instance that can use the result until latest and repeats the call
-// if ctx ends earlier. replicas is 0 for the first replica, otherwise the number of replicas that
-// exist already.
-func (w *Waker) Hold(ctx context.Context, u backend.Unit, replicas int, latest time.Time) (string, error) {
+// Coordinate coordinates a wake for an instance that can use the result until latest and repeats
+// the call if ctx ends earlier. replicas is 0 for the first replica, otherwise the number of
+// replicas that exist already.
+func (w *Waker) Coordinate(ctx context.Context, u backend.Unit, replicas int, latest time.Time) (string, error) {
 	id := flightID(u) + "/" + strconv.Itoa(replicas)
 	return w.coordinated.do(ctx, id, latest, repeatCallGrace, func(ctx context.Context, latest func() time.Time) (string, error) {
 		if replicas > 0 {
@@ -109,7 +109,7 @@
 func (w *Waker) awaitCoordinator(ctx context.Context, u backend.Unit, latest func() time.Time) (string, error) {
 	for {
 		engine, err := w.callCoordinator(ctx, u, 0, latest())
-		expired := err != nil && verdict.Of(err).Reason == verdict.ReasonDeadline
+		expired := err != nil && verdict.FromError(err).Reason == verdict.ReasonDeadline
 		if !expired || ctx.Err() != nil || !time.Now().Before(latest()) {
 			return engine, err
 		}
@@ -135,7 +135,7 @@
 			return "", verdict.Refuse(verdict.ReasonDeadline, "%s was not loaded in time", u.ID())
 		}
 	}
-	return w.Hold(callCtx, u, replicas, latest)
+	return w.Coordinate(callCtx, u, replicas, latest)
 }
 
 // mergeResidency merges the residency contained in a reply into the table, without waiting for the
@@ -165,7 +165,7 @@
 func (w *Waker) coordinatorDomain(model *declaration.Model) string {
 	var slotDomains, allowedDomains []string
 	for _, e := range w.env.Tables.Engines.All() {
-		if slices.Contains(e.Held, model.Name) && w.env.Tables.Members.Populated(e.FailureDomain) {
+		if slices.Contains(e.Held, model.Name) && w.env.Tables.Members.HasAlive(e.FailureDomain) {
 			slotDomains = append(slotDomains, e.FailureDomain)
 		}
 	}
--- a/command/weights/weights.go
+++ b/command/weights/weights.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// News returns a channel that has an item when Update should be called because a load has started to wait.
-func (g *Gate) News() <-chan struct{} { return g.changed }
+// Changed returns a channel that has an item when Update should be called because a load has started to wait.
+func (g *Gate) Changed() <-chan struct{} { return g.changed }
 
 func (g *Gate) remove(w *waiter) {
 	g.mu.Lock()
@@ -204,7 +204,7 @@
 		if !now.Add(loadTime).After(w.Latest) {
 			return false
 		}
-		w.done <- verdict.Refuse(verdict.ReasonTooSlow, "%s cannot be loaded in time, a load takes %v", w.Unit, loadTime.Round(time.Second)).After(max(loadTime, g.params.RetryAfter))
+		w.done <- verdict.Refuse(verdict.ReasonTooSlow, "%s cannot be loaded in time, a load takes %v", w.Unit, loadTime.Round(time.Second)).WithRetryAfter(max(loadTime, g.params.RetryAfter))
 		return true
 	})
 }
--- a/command/weights/weights_test.go
+++ b/command/weights/weights_test.go
@@ -63,7 +63,7 @@
 		synctest.Wait()
 		g.Update(Streams{}, nil, time.Now())
 		synctest.Wait()
-		if f := verdict.Of(<-errs); f.Verdict != verdict.NotRun || f.RetryAfter < 100*time.Second {
+		if f := verdict.FromError(<-errs); f.Verdict != verdict.NotRun || f.RetryAfter < 100*time.Second {
 			t.Errorf("%+v, want a refusal with a retry delay of at least 100 s", f)
 		}
 		if n := g.Waiting(); n != 1 {
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -92,7 +92,7 @@
 		Instance: s.Name, Identity: orderer.Identity(c.tables.Members.Self()),
 		Store: c.store, Tables: c.tables, Events: c.events, Policy: placement.DefaultPolicy(),
 	}
-	c.orders = orderer.NewManager(env, orderer.Params{Tick: s.Tick, Settle: s.Settle, Workers: s.Workers}, deps.Engine)
+	c.orders = orderer.NewManager(env, orderer.Params{ReconcileInterval: s.Tick, StartupDelay: s.Settle, Workers: s.Workers}, deps.Engine)
 	c.waker = wake.NewWaker(wake.DefaultParams(), env, c.orders, c.peers)
 	c.gate = admission.NewGate(admission.Params{
 		MaxRequests: s.MaxRequests, MaxPerModel: s.MaxPerModel, MaxPerCaller: s.MaxPerCaller, RetryAfter: limitRetryAfter,
@@ -101,8 +101,8 @@
 	c.queue = admission.NewQueue(admission.QueueParams{MaxWaiting: s.MaxPerModel, RetryAfter: limitRetryAfter, Refuse: true})
 	c.dispatcher = dispatch.New(dispatch.DefaultParams(), c.tables, c.events, balancer, c.queue, c.waker, deps.Engine)
 	c.caller = dispatch.NewCaller(c.dispatcher, deps.Service)
-	c.runs = runonce.NewRegistry(runonce.Params{Retention: s.KeyRetention, MaxHeld: s.HeldAnswers}, s.Name, c.store, answerPeers{c})
-	c.intents = intent.New(c.store, c.tables.Config, c.tables.Members.Populated)
+	c.runs = runonce.NewRegistry(runonce.Params{Retention: s.KeyRetention, MaxKeptAnswers: s.HeldAnswers}, s.Name, c.store, answerPeers{c})
+	c.intents = intent.New(c.store, c.tables.Config, c.tables.Members.HasAlive)
 	c.timeline = timeline.NewCollector(c.tables, c.events, c.peers)
 	c.health = grpchealth.NewStaticChecker(martenportv1connect.InferenceServiceName)
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -33,10 +33,10 @@
 
 // Parameters of calls to the store.
 const (
-	platformCallTimeout = time.Second
-	platformWatchWait   = 5 * time.Second
-	platformBreakAfter  = 2
-	platformReadRetries = 2
+	platformCallTimeout      = time.Second
+	platformWatchWait        = 5 * time.Second
+	platformBreakerThreshold = 2
+	platformReadRetries      = 2
 )
 
 // New checks the settings, opens the listeners and returns the instance. Run starts it.
@@ -50,7 +50,7 @@
 	}
 	client := platform.NewClient(platform.ClientParams{
 		BaseURL: s.PlatformURL, CallTimeout: platformCallTimeout, WatchWait: platformWatchWait,
-		CallsPerSecond: s.PlatformRate, ReadRetries: platformReadRetries, BreakAfter: platformBreakAfter,
+		CallsPerSecond: s.PlatformRate, ReadRetries: platformReadRetries, BreakerThreshold: platformBreakerThreshold,
 	})
 	peerAddress := s.PeerAddress
 	if peerAddress == "" {
--- a/daemon/fleet_test.go
+++ b/daemon/fleet_test.go
@@ -179,7 +179,7 @@
 	}
 	accepted, err := n.intents.Confirm(f.t.Context(), plan.ID, plan.BaseGeneration, source)
 	if err == nil {
-		peer.Apply(n.tables, n.events, accepted, "operator")
+		peer.ApplyDeclaration(n.tables, n.events, accepted, "operator")
 	}
 	return err
 }
--- a/daemon/jobs.go
+++ b/daemon/jobs.go
@@ -168,7 +168,7 @@
 	c.events.Record(event.Event{Kind: event.KindAccept, Request: j.id, Model: j.model})
 	answer, err := c.runOnce(ctx, j, work)
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
-		f := verdict.Of(err)
+		f := verdict.FromError(err)
 		err = verdict.New(f.Verdict, verdict.ReasonCancelled, "the caller cancelled or left: %s", f.Detail)
 	}
 	ticket.Done(err)
@@ -195,7 +195,7 @@
 func (c *Core) recordEnd(j job, start time.Time, err error) {
 	e := event.Event{Kind: event.KindAnswer, Request: j.id, Model: j.model}
 	if err != nil {
-		f := verdict.Of(err)
+		f := verdict.FromError(err)
 		e.Kind, e.Detail = event.KindFail, f.Error()
 		if f.Verdict == verdict.NotRun {
 			e.Kind = event.KindRefuse
--- a/daemon/limits_test.go
+++ b/daemon/limits_test.go
@@ -60,7 +60,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := c.Generate(t.Context(), req)
-			if f := verdict.Of(err); err == nil || f.Verdict != verdict.NotRun {
+			if f := verdict.FromError(err); err == nil || f.Verdict != verdict.NotRun {
 				t.Errorf("%v, want verdict NotRun", err)
 			}
 		})
@@ -112,7 +112,7 @@
 		req := &martenportv1.GenerateRequest{Model: model, Prompt: prompt, Key: key, MaxTokens: tokens, TimeoutMs: timeout, Priority: priority}
 		j, err := c.generateJob(req)
 		if err != nil {
-			if verdict.Of(err).Verdict != verdict.NotRun {
+			if verdict.FromError(err).Verdict != verdict.NotRun {
 				t.Errorf("%v, want verdict NotRun", err)
 			}
 			return
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -43,7 +43,7 @@
 func newOperator(d *Daemon) operator {
 	return operator{d: d, Declarations: operators.Declarations{
 		Intents: d.intents, Config: d.tables.Config, Events: d.events,
-		Accepted: func(a *table.Accepted) { peer.Apply(d.tables, d.events, a, "operator") },
+		Accepted: func(a *table.Accepted) { peer.ApplyDeclaration(d.tables, d.events, a, "operator") },
 	}}
 }
 
--- a/daemon/operators_test.go
+++ b/daemon/operators_test.go
@@ -60,7 +60,7 @@
 		}
 		f.accept(f.nodes[0], albumModel)
 		f.awaitUntil("the model is unloaded", time.Minute, func() bool { return f.replicas("caption") == 0 })
-		if _, err := f.nodes[0].generate("caption", "x", time.Minute); verdict.Of(err).Reason != verdict.ReasonUnknownModel {
+		if _, err := f.nodes[0].generate("caption", "x", time.Minute); verdict.FromError(err).Reason != verdict.ReasonUnknownModel {
 			t.Errorf("request for a removed model: %v, want ReasonUnknownModel", err)
 		}
 		f.awaitUntil("its slot is freed", time.Minute, func() bool {
--- a/daemon/overload_test.go
+++ b/daemon/overload_test.go
@@ -74,7 +74,7 @@
 		case e.err == nil:
 			answered++
 			r.slowest = max(r.slowest, e.elapsed)
-		case verdict.Of(e.err).Verdict == verdict.NotRun:
+		case verdict.FromError(e.err).Verdict == verdict.NotRun:
 			r.refusal = max(r.refusal, e.elapsed)
 		}
 	}
@@ -137,7 +137,7 @@
 		if !n.running.cancelRequest("", "a", "k") {
 			t.Error("request not found by its key")
 		}
-		if f := verdict.Of(<-done); f.Reason != verdict.ReasonCancelled || f.Verdict != verdict.NotRun {
+		if f := verdict.FromError(<-done); f.Reason != verdict.ReasonCancelled || f.Verdict != verdict.NotRun {
 			t.Errorf("%v, want ReasonCancelled and verdict NotRun", f)
 		}
 		f.checkCounts()
--- a/daemon/partition_test.go
+++ b/daemon/partition_test.go
@@ -80,7 +80,7 @@
 			}
 			start := time.Now()
 			_, err := outside.generate("caption", "outside", time.Minute)
-			if failure := verdict.Of(err); err == nil || failure.Verdict != verdict.NotRun || failure.RetryAfter == 0 {
+			if failure := verdict.FromError(err); err == nil || failure.Verdict != verdict.NotRun || failure.RetryAfter == 0 {
 				t.Errorf("request outside the partitioned domain: %v, want NotRun with a retry delay", err)
 			}
 			if elapsed := time.Since(start); elapsed > 10*time.Second {
@@ -118,7 +118,7 @@
 		if !f.generationsAre(1, "d2") {
 			t.Error("partitioned domain does not have generation 1")
 		}
-		if err := f.tryAccept(f.nodeIn("d2"), oneReplica); verdict.Of(err).Reason != verdict.ReasonPlatform {
+		if err := f.tryAccept(f.nodeIn("d2"), oneReplica); verdict.FromError(err).Reason != verdict.ReasonPlatform {
 			t.Errorf("confirmation without the store: %v, want ReasonPlatform", err)
 		}
 		f.net.setPartitioned("d2", false)
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -28,8 +28,8 @@
 	deadline := time.NewTimer(time.Duration(args.WaitMS) * time.Millisecond)
 	defer deadline.Stop()
 	for {
-		_, changed := tables.Engines.Mark()
-		reply.Delta = tables.Since(since, near)
+		_, changed := tables.Engines.Changes()
+		reply.Delta = tables.DeltaSince(since, near)
 		reply.Incarnation = self.Incarnation
 		reply.Generation = tables.Config.Index().Generation
 		if since == 0 || !reply.Delta.Empty() {
@@ -54,7 +54,7 @@
 // Wake implements peer.Handler.
 func (h peerHandler) Wake(ctx context.Context, args *peer.WakeArgs, reply *peer.WakeReply) error {
 	latest := time.Now().Add(time.Duration(args.LatestMS) * time.Millisecond)
-	engine, err := h.c.waker.Hold(ctx, args.Unit, args.Replicas, latest)
+	engine, err := h.c.waker.Coordinate(ctx, args.Unit, args.Replicas, latest)
 	reply.Engine = engine
 	reply.Residency = h.residency(engine)
 	return err
--- a/daemon/unreachable_test.go
+++ b/daemon/unreachable_test.go
@@ -120,7 +120,7 @@
 		f := newTestFleet(t, small)
 		defer f.close()
 		silent := f.makeUnreachable("caption")
-		if _, err := f.nodes[0].generate("caption", "y", 20*time.Second); verdict.Of(err).Verdict != verdict.NotRun {
+		if _, err := f.nodes[0].generate("caption", "y", 20*time.Second); verdict.FromError(err).Verdict != verdict.NotRun {
 			t.Errorf("request with the slot on an unreachable engine: %v, want verdict NotRun", err)
 		}
 		before := "name: " + silent + ", failureDomain: d" + silent[1:2] + ","
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -137,7 +137,7 @@
 		c.events.Record(event.Event{Kind: event.KindGeneration, Detail: "unreadable: " + err.Error()})
 		return
 	}
-	peer.Apply(c.tables, c.events, accepted, "platform")
+	peer.ApplyDeclaration(c.tables, c.events, accepted, "platform")
 }
 
 func (c *Core) applyInstance(obj store.Object) {
@@ -163,7 +163,7 @@
 		return
 	}
 	if c.tables.Engines.MarkLeaving(name) {
-		c.events.Record(event.Event{Kind: event.KindLeaving, Engine: name, Detail: "word of the platform"})
+		c.events.Record(event.Event{Kind: event.KindBackendLeaving, Engine: name, Detail: "word of the platform"})
 	}
 }
 
--- a/daemon/weights_test.go
+++ b/daemon/weights_test.go
@@ -36,12 +36,12 @@
 		f.weights.SetSpeed(0.01)
 		for i := 1; i <= 9; i++ {
 			elapsed, err := ask(i, 10*time.Minute)
-			if err != nil && (verdict.Of(err).Verdict != verdict.NotRun || elapsed > 10*time.Minute) {
+			if err != nil && (verdict.FromError(err).Verdict != verdict.NotRun || elapsed > 10*time.Minute) {
 				t.Errorf("request during the slowdown: after %v: %v, want NotRun by the deadline", elapsed, err)
 			}
 		}
 		elapsed, err := ask(10, 30*time.Second)
-		if f := verdict.Of(err); err == nil || f.Verdict != verdict.NotRun || f.RetryAfter == 0 || elapsed > 5*time.Second {
+		if f := verdict.FromError(err); err == nil || f.Verdict != verdict.NotRun || f.RetryAfter == 0 || elapsed > 5*time.Second {
 			t.Errorf("request whose load is too slow: after %v: %v, want NotRun within 5 s", elapsed, err)
 		}
 		f.weights.SetSpeed(1)
--- a/entry/access.go
+++ b/entry/access.go
@@ -114,7 +114,7 @@
 	g.countAnswer(answer)
 	switch {
 	case err != nil || !answer.Known:
-		return nil, verdict.Refuse(verdict.ReasonPlatform, "the share of workspace %s is used up, and no holder says whether there is more", w.Name).After(holderUnavailableRetryAfter)
+		return nil, verdict.Refuse(verdict.ReasonPlatform, "the share of workspace %s is used up, and no holder says whether there is more", w.Name).WithRetryAfter(holderUnavailableRetryAfter)
 	case !answer.Granted:
 		return nil, g.overLimit(w, cost, answer.After)
 	}
@@ -141,7 +141,7 @@
 	if after <= 0 {
 		return failure
 	}
-	return failure.After(max(minOverLimitRetryAfter, after))
+	return failure.WithRetryAfter(max(minOverLimitRetryAfter, after))
 }
 
 // queryLimits asks the holder for the usage of the workspaces' limits.
--- a/internal/rpcpool/rpcpool.go
+++ b/internal/rpcpool/rpcpool.go
@@ -26,7 +26,7 @@
 
 // DialTCP is the Dial that is used outside of tests.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
-	return tcpdial.Params{Silence: unackedTimeout}.Dial(ctx, "tcp", address)
+	return tcpdial.Params{UnackedTimeout: unackedTimeout}.Dial(ctx, "tcp", address)
 }
 
 // Pool is a set of connections. It is safe for concurrent use.
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -105,7 +105,7 @@
 	}
 	s, err := e.Generate(r.Context(), a)
 	if err != nil {
-		f := verdict.Of(err)
+		f := verdict.FromError(err)
 		refuse(w, http.StatusConflict, backend.Refusal{Error: f.Detail, NotRun: f.Verdict == verdict.NotRun})
 		return
 	}
--- a/internal/tcpdial/tcpdial.go
+++ b/internal/tcpdial/tcpdial.go
@@ -17,9 +17,10 @@
 type Params struct {
 	// Connect bounds the opening of a connection.
 	Connect time.Duration
-	// Silence is how long the peer may leave sent data or a keep-alive probe unacknowledged before
-	// the connection is closed: several round trips, with room for a lost packet. 0 sets no limit.
-	Silence time.Duration
+	// UnackedTimeout is how long the peer may leave sent data or a keep-alive probe
+	// unacknowledged before the connection is closed: several round trips, with room for a lost
+	// packet. 0 sets no limit.
+	UnackedTimeout time.Duration
 	// ResetOnClose makes Close reset the connection, so that bytes in transit are dropped rather
 	// than delivered later.
 	ResetOnClose bool
@@ -29,13 +30,13 @@
 // between probes. It is the shortest that the kernel supports.
 const probeInterval = time.Second
 
-// probeCount is the kernel's own limit on unanswered probes; Silence takes effect first.
+// probeCount is the kernel's own limit on unanswered probes; UnackedTimeout takes effect first.
 const probeCount = 3
 
 // Dial connects to a TCP address.
 func (p Params) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: p.Connect}
-	if p.Silence > 0 {
+	if p.UnackedTimeout > 0 {
 		dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount}
 		dialer.Control = p.control
 	}
@@ -56,7 +57,7 @@
 func (p Params) control(_, _ string, raw syscall.RawConn) error {
 	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.Silence.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.UnackedTimeout.Milliseconds()))
 	})
 	return errors.Wrap(errors.CombineErrors(err, sockoptErr), "tcpdial: limit on silence")
 }
--- a/internal/tcpdial/tcpdial_test.go
+++ b/internal/tcpdial/tcpdial_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	conn, err := Params{Connect: time.Second, Silence: 1500 * time.Millisecond, ResetOnClose: true}.Dial(context.Background(), "tcp", listener.Addr().String())
+	conn, err := Params{Connect: time.Second, UnackedTimeout: 1500 * time.Millisecond, ResetOnClose: true}.Dial(context.Background(), "tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/peer/gossip.go
+++ b/peer/gossip.go
@@ -63,7 +63,7 @@
 	}
 	ticker := time.NewTicker(g.params.ProbeInterval)
 	defer ticker.Stop()
-	_, changed := g.tables.Engines.Mark()
+	_, changed := g.tables.Engines.Changes()
 	for {
 		g.updatePartners(ctx)
 		select {
@@ -76,7 +76,7 @@
 				return
 			}
 		}
-		_, changed = g.tables.Engines.Mark()
+		_, changed = g.tables.Engines.Changes()
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 	for _, r := range g.tables.Engines.MergeResidency(d.Residencies) {
 		if r.Leaving {
-			g.events.Record(event.Event{Kind: event.KindLeaving, Engine: r.Engine, Detail: "word of a peer"})
+			g.events.Record(event.Event{Kind: event.KindBackendLeaving, Engine: r.Engine, Detail: "word of a peer"})
 		}
 	}
 	g.tables.Engines.MergeLoad(d.Loads)
@@ -204,12 +204,12 @@
 	if err != nil || accepted == nil {
 		return
 	}
-	Apply(g.tables, g.events, accepted, "peer")
+	ApplyDeclaration(g.tables, g.events, accepted, "peer")
 }
 
-// Apply puts an accepted declaration in force if it is newer than the current one. source names its
-// origin in the recorded event.
-func Apply(tables *table.Tables, events *event.Recorder, accepted *table.Accepted, source string) {
+// ApplyDeclaration puts an accepted declaration in force if it is newer than the current one. source
+// names its origin in the recorded event.
+func ApplyDeclaration(tables *table.Tables, events *event.Recorder, accepted *table.Accepted, source string) {
 	applied, err := tables.Config.Accept(accepted)
 	if err != nil {
 		events.Record(event.Event{Kind: event.KindGeneration, Plan: accepted.PlanID, Detail: "unreadable: " + err.Error()})
--- a/peer/server.go
+++ b/peer/server.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := run(ctx); err != nil {
-		reply.Failure = verdict.Of(err)
+		reply.Failure = verdict.FromError(err)
 	}
 	reply.Stamp = s.clock.Now()
 	return nil
--- a/query/status/status.go
+++ b/query/status/status.go
@@ -36,7 +36,7 @@
 }
 
 func model(m *declaration.Model, engines []table.EngineView, gate *admission.Gate) Model {
-	out := Model{Name: m.Name, MaxReplicas: m.MaxReplicas, Waiting: gate.Waiting(m.Name)}
+	out := Model{Name: m.Name, MaxReplicas: m.MaxReplicas, Waiting: gate.Pending(m.Name)}
 	for _, e := range engines {
 		switch u, _ := e.Find(m.Name); u.State {
 		case backend.Resident:
@@ -83,8 +83,8 @@
 // ReportAge returns the time since this instance last received a change of the engine, 0 if it
 // never did.
 func ReportAge(e table.EngineView, now time.Time) time.Duration {
-	if e.SeenAt.IsZero() {
+	if e.UpdatedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(e.SeenAt)
+	return now.Sub(e.UpdatedAt)
 }
--- a/table/engines.go
+++ b/table/engines.go
@@ -58,8 +58,8 @@
 type EngineView struct {
 	Residency
 	Load Load
-	// SeenAt is when this instance last received a change, by its own clock.
-	SeenAt time.Time
+	// UpdatedAt is when this instance last received a change, by its own clock.
+	UpdatedAt time.Time
 }
 
 // Resident reports whether the unit is resident in the given version.
@@ -97,9 +97,9 @@
 	return &Engines{log: log, engines: map[string]*engineEntry{}}
 }
 
-// Mark returns the sequence number of the last change to any table and a channel that is closed at
-// the next change.
-func (t *Engines) Mark() (uint64, <-chan struct{}) { return t.log.Mark() }
+// Changes returns the sequence number of the last change to any table and a channel that is closed
+// at the next change.
+func (t *Engines) Changes() (uint64, <-chan struct{}) { return t.log.Changes() }
 
 // entryLocked returns the entry of the engine, which it adds if there is none. t.mu must be held.
 func (t *Engines) entryLocked(name string) *engineEntry {
@@ -130,7 +130,7 @@
 		}
 		r.Leaving = r.Leaving || (r.Incarnation != "" && r.Incarnation == e.leavingIncarnation)
 		e.Residency = r
-		e.SeenAt = time.Now()
+		e.UpdatedAt = time.Now()
 		e.residencySequence = t.log.advance()
 		out = append(out, r)
 	}
@@ -147,7 +147,7 @@
 			continue
 		}
 		e.Load = l
-		e.SeenAt = time.Now()
+		e.UpdatedAt = time.Now()
 		e.loadSequence = t.log.advance()
 	}
 }
@@ -206,9 +206,9 @@
 	Loads       []Load
 }
 
-// Since returns the changes after sequence number n. It includes loads only if loads is true.
-func (t *Tables) Since(n uint64, loads bool) Delta {
-	sequence, _ := t.Engines.Mark()
+// DeltaSince returns the changes after sequence number n. It includes loads only if loads is true.
+func (t *Tables) DeltaSince(n uint64, loads bool) Delta {
+	sequence, _ := t.Engines.Changes()
 	d := Delta{Sequence: sequence, Members: t.Members.changedSince(n)}
 	t.Engines.mu.Lock()
 	defer t.Engines.mu.Unlock()
--- a/table/members.go
+++ b/table/members.go
@@ -181,8 +181,8 @@
 	return m.filter(func(e Member) bool { return e.FailureDomain == domain && e.State == Alive })
 }
 
-// Populated reports whether any instance of the failure domain accepts new work.
-func (m *Members) Populated(domain string) bool {
+// HasAlive reports whether any instance of the failure domain accepts new work.
+func (m *Members) HasAlive(domain string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range m.members {
--- a/table/table.go
+++ b/table/table.go
@@ -158,9 +158,9 @@
 	return l.sequence
 }
 
-// Mark returns the sequence number of the last change and a channel that is closed at the next
+// Changes returns the sequence number of the last change and a channel that is closed at the next
 // change.
-func (l *changeLog) Mark() (uint64, <-chan struct{}) {
+func (l *changeLog) Changes() (uint64, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sequence, l.changed
--- a/verdict/rpcerror/rpcerror.go
+++ b/verdict/rpcerror/rpcerror.go
@@ -27,7 +27,7 @@
 
 // New converts err to a Connect error with a Failure as its detail.
 func New(err error) error {
-	f := verdict.Of(err)
+	f := verdict.FromError(err)
 	code, found := codes[f.Reason]
 	if !found {
 		code = connect.CodeUnavailable
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -99,16 +99,16 @@
 	return New(NotRun, r, format, args...)
 }
 
-// After returns a copy of f with the given retry-after.
-func (f *Failure) After(d time.Duration) *Failure {
+// WithRetryAfter returns a copy of f with the given retry-after.
+func (f *Failure) WithRetryAfter(d time.Duration) *Failure {
 	c := *f
 	c.RetryAfter = d
 	return &c
 }
 
-// From returns a copy of f with Silent set according to its cause: true if cause is a network
+// WithCause returns a copy of f with Silent set according to its cause: true if cause is a network
 // timeout.
-func (f *Failure) From(cause error) *Failure {
+func (f *Failure) WithCause(cause error) *Failure {
 	c := *f
 	var netErr net.Error
 	c.Silent = errors.As(cause, &netErr) && netErr.Timeout()
@@ -122,9 +122,9 @@
 	return &c
 }
 
-// Of returns err as a Failure, nil if err is nil. An error that wraps no Failure gets the verdict
-// MayHaveRun, which never permits an unsafe retry.
-func Of(err error) *Failure {
+// FromError returns err as a Failure, nil if err is nil. An error that wraps no Failure gets the
+// verdict MayHaveRun, which never permits an unsafe retry.
+func FromError(err error) *Failure {
 	if err == nil {
 		return nil
 	}
@@ -143,7 +143,7 @@
 
 // Retryable reports whether a request that failed with err may be sent again.
 func Retryable(err error, idempotent bool) bool {
-	f := Of(err)
+	f := FromError(err)
 	switch f.Reason {
 	case ReasonBackend, ReasonBroken, ReasonNoReplica:
 	default:
