--- a/command/forward/choose.go
+++ b/command/forward/choose.go
@@ -155,8 +155,8 @@
 // While a request waits and no engine is chosen yet, it checks every replicaPollInterval for an
 // engine that the holder has reported since, and asks the holder again after placeRefreshInterval:
 // the estimate may have become worse, or the engine that the first answer was based on may be free
-// earlier. Requests that slept for the whole time first announced lost .029 +- .007 of worth (24
-// pairs of days on the users' platform).
+// earlier. Requests that slept for the whole time first announced lost .029 +- .007 of the score
+// (24 paired runs on the users' platform).
 const (
 	replicaPollInterval  = 50 * time.Millisecond
 	placeRefreshInterval = 500 * time.Millisecond
--- a/command/forward/draw_test.go
+++ b/command/forward/draw_test.go
@@ -7,15 +7,16 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// TestResendDrawnOnce: every send after the first is drawn from the budget once, including when an
-// answer is withheld until it is known whether another send is possible. A send that cannot be
-// drawn is not made.
+// TestResendDrawnOnce: every repeated send is drawn from the budget once, also when a server's failed
+// response is held back until it is decided whether the request is sent again. An attempt that
+// reached no server is not counted. If the budget is empty, the request is not sent again.
 func TestResendDrawnOnce(t *testing.T) {
 	ok, failed, refused := reply{status: 200, body: "done"}, reply{status: 500, body: "no"}, reply{status: 503, notExecuted: true}
 	tests := map[string]struct {
-		replies    []reply
-		sends      int
-		whenDenied int // status, 0: none
+		replies      []reply
+		countedSends int // sends that reach a server
+		// statusIfDenied is the client's status if the budget allows no repeated send; 0: a failure and no response.
+		statusIfDenied int
 	}{
 		"failed":      {[]reply{failed, ok}, 2, failed.status},
 		"refused":     {[]reply{refused, ok}, 2, 0},
@@ -31,26 +32,26 @@
 			if failure != nil || w.Code != ok.status {
 				t.Errorf("status %d, %v", w.Code, failure)
 			}
-			if n := f.forwarder.budget.State("plain", time.Now()).Repeats; n != test.sends-1 {
-				t.Errorf("%d draws for %d sends", n, test.sends)
+			if n := f.forwarder.budget.State("plain", time.Now()).Repeats; n != test.countedSends-1 {
+				t.Errorf("%d draws for %d sends that reach a server", n, test.countedSends)
 			}
 
 			f = newFixture(t, test.replies...)
 			f.forwarder.budget.SetParams(BudgetParams{Window: time.Minute}, time.Now())
 			w, failure = f.serve("safe", "", 0)
-			sends := len(f.servers.attempts)
-			if test.whenDenied == 0 && (failure == nil || sends != 1) || test.whenDenied != 0 && (failure != nil || w.Code != test.whenDenied) {
-				t.Errorf("without a budget: status %d, %v after %d sends", w.Code, failure, sends)
+			attempts := len(f.servers.attempts)
+			if test.statusIfDenied == 0 && (failure == nil || attempts != 1) || test.statusIfDenied != 0 && (failure != nil || w.Code != test.statusIfDenied) {
+				t.Errorf("with an empty budget: status %d, %v after %d attempts", w.Code, failure, attempts)
 			}
-			if reached := sends - notSentOf(test.replies); reached > 1 {
-				t.Errorf("without a budget: %d sends reached a server", reached)
+			if reached := attempts - unsentAttempts(test.replies); reached > 1 {
+				t.Errorf("with an empty budget: %d attempts reached a server, want at most 1", reached)
 			}
 		})
 	}
 }
 
-// notSentOf counts the replies to sends that reach no server.
-func notSentOf(replies []reply) int {
+// unsentAttempts counts the attempts that end before they reach a server.
+func unsentAttempts(replies []reply) int {
 	n := 0
 	for _, r := range replies {
 		if r.failure != nil && r.failure.Verdict == verdict.NotRun {
--- a/command/forward/forward.go
+++ b/command/forward/forward.go
@@ -67,7 +67,8 @@
 // Place states where a unit is or will be loaded. The holder follows the load and reports the unit
 // as ready only once the load has completed. When instances sent their requests at the time first
 // announced, 466 of 12,000 sends were refused, most of them because the load had to wait for an
-// unload, and each was drawn from the budget of repeated sends (a quiet day with 195 instances).
+// unload, and each was drawn from the budget of repeated sends (a run with 195 instances
+// and little traffic).
 type Place struct {
 	// Engine is empty while no engine has been chosen; ask again at Ready.
 	Engine string
--- a/command/holder/exchange.go
+++ b/command/holder/exchange.go
@@ -13,7 +13,7 @@
 	"github.com/martenport/martenport/store"
 )
 
-// Arrivals are the requests for one model that arrived at an instance since its last report.
+// Arrivals counts the requests for one model that arrived at an instance since its last report.
 type Arrivals struct {
 	Model string
 	replicas.Arrivals
@@ -26,7 +26,8 @@
 	Count  int
 }
 
-// instanceReports holds the latest report of each instance.
+// instanceReports holds what the holder keeps of the instances' reports: the running requests of each instance and the
+// instances of each failure domain.
 type instanceReports struct {
 	instances map[string]instanceReport
 	peers     peers
@@ -38,6 +39,7 @@
 	busiestAt    time.Time
 }
 
+// instanceReport is the part of an instance's latest report that is kept.
 type instanceReport struct {
 	receivedAt time.Time
 	running    []Running
@@ -50,7 +52,7 @@
 // intervalSmoothing is the weight of the newest report in the smoothed report interval.
 const intervalSmoothing = 0.02
 
-// record stores which requests run at an instance.
+// record stores the running requests of an instance, and updates the smoothed report interval.
 func (ir *instanceReports) record(name string, running []Running, now time.Time) {
 	if last, found := ir.instances[name]; found {
 		ir.reportInterval += time.Duration(intervalSmoothing * float64(now.Sub(last.receivedAt)-ir.reportInterval))
@@ -77,11 +79,13 @@
 	return counts
 }
 
+// expire drops the reports that are older than reportLifetime.
 func (ir *instanceReports) expire(now time.Time) {
 	maps.DeleteFunc(ir.instances, func(_ string, i instanceReport) bool { return now.Sub(i.receivedAt) > reportLifetime })
 }
 
-// otherInstancesLoads returns the number of running requests of all instances but the named one, by engine.
+// otherInstancesLoads returns the number of running requests of all instances but the named one, for the busiest
+// engines. The total is recomputed only once per viewsInterval.
 func (ir *instanceReports) otherInstancesLoads(name string, now time.Time) map[string]int {
 	if now.Sub(ir.busiestAt) >= viewsInterval {
 		ir.busiestAt = now
@@ -102,11 +106,11 @@
 	return counts
 }
 
-// maxBusiest bounds the number of engines whose load is reported to instances. Those are the busiest ones, which
-// requests should avoid. All others count as having no requests of other instances.
+// maxBusiest bounds the number of engines whose load is reported to instances. Only the busiest engines are reported,
+// since requests should avoid them. Instances treat all others as having no requests of other instances.
 const maxBusiest = 64
 
-// busiestOf returns the engines with the highest counts.
+// busiestOf returns the counts of the maxBusiest engines with the highest counts.
 func busiestOf(totals map[string]int) map[string]int {
 	if len(totals) <= maxBusiest {
 		return totals
@@ -124,15 +128,16 @@
 	Name string
 	// Domain is the failure domain in which the instance shares the budget of repeated sends.
 	Domain string
-	// Reaches is the number of the holder's store outage (Update.Failing) during which the store has answered this
-	// instance. It is 0 if there is none.
+	// Reaches is the number (see Update.Failing) of the store outage at the holder during which the store has answered
+	// this instance, 0 if there is none. The holder then renews the lease once more, and gives it up if that
+	// fails, so that an instance that reaches the store can take over.
 	Reaches  uint64
 	Arrivals []Arrivals
 	Running  []Running
 	// Waiting describes all waiting requests of the instance, by model.
 	Waiting map[string]replicas.Waiting
-	// Fence is the token of the holder that the instance last received a message from. SeenViews and SeenServers are
-	// the last changes that it received from that holder.
+	// Fence is the fencing token of the holder whose update the instance received last. SeenViews and SeenServers are
+	// the numbers of the last changes that it received from that holder.
 	Fence                  int64
 	SeenViews, SeenServers uint64
 	// Revision is the store revision up to which the instance knows the servers.
@@ -149,18 +154,19 @@
 	// Views are the views that have changed since SeenViews. Seen is the value of SeenViews for the next report.
 	Views []directory.EngineView
 	Seen  uint64
-	// Others is the number of running requests of other instances on each engine.
+	// Others is the number of running requests of other instances on each of the busiest engines.
 	Others map[string]int
 	// Admit is the share of deferrable requests to admit, for each model where it is below 1.
 	Admit map[string]float64
-	// Servers are the changes since SeenServers.
+	// Servers are the changes of the directory of servers since SeenServers.
 	Servers directory.Delta
-	// Config states the version of the configuration in force at the holder and how old that information is.
+	// Config is the version of the configuration in force at the holder, and the time since the store last confirmed it.
 	Config access.ConfigStatus
 	// RemoteAtOnce is the estimated number of concurrent loads from the weight store that run at full speed. A
 	// successor uses it instead of measuring it again.
 	RemoteAtOnce float64
-	// Failing is the number of the current outage in which the holder cannot reach the store, 0 if there is none.
+	// Failing is the number of the current store outage at the holder, in which it cannot reach the store. It is 0 if
+	// there is none.
 	Failing uint64
 	// Lease states when the holder last renewed the lease. A successor counts its waiting time from then.
 	Lease lease.RenewalAge
--- a/command/holder/holder.go
+++ b/command/holder/holder.go
@@ -161,7 +161,7 @@
 	outage := h.suspendInOutage(now)
 	h.fleet.SetRunning(h.reports.runningByUnit(now), now)
 	operations := append(h.fleet.Trim(now), h.fleet.Dispatch(now)...)
-	uncertain := h.fleet.Unsure(now)
+	uncertain := h.fleet.EnginesToRead(now)
 	settleDue := !h.lease.Settled() && h.lease.RenewalDue(now)
 	h.mu.Unlock()
 	if settleDue || outage > 0 { // a failed renewal is retried at the next tick
@@ -326,7 +326,7 @@
 	if e == nil || !e.Serves(unit, now) || h.fleet.Postpone(id, unit, now) {
 		return
 	}
-	h.fleet.MarkUnsure(id, unit)
+	h.fleet.MarkForRead(id, unit)
 	h.log.WithFields(logrus.Fields{"engine": id, "unit": unit.String(), "sequence": e.Sequence}).Info("engine reports a unit as missing; reading the engine again")
 }
 
--- a/command/holder/lease.go
+++ b/command/holder/lease.go
@@ -218,7 +218,7 @@
 // orderFence returns the fencing token for an order that is sent to an engine now. If a renewal is due while the
 // lease is still valid, the renewal runs in the background: a store that does not answer must not delay orders that
 // are still allowed. Together with not counting orders that could not be sent as failures of the engine, this gained
-// .017 +- .007 of worth (24 pairs of days on the users' platform).
+// .017 +- .007 of the score (24 paired runs on the users' platform).
 func (h *Holder) orderFence(ctx context.Context, engine string) (int64, error) {
 	if token, ok := h.tryFence(engine); ok {
 		if h.renewalDue() {
--- a/command/holder/outage_test.go
+++ b/command/holder/outage_test.go
@@ -14,9 +14,8 @@
 
 // TestStoreOutage: while the store does not answer, orders continue for as long as the lease is valid without a
 // renewal, and stop then. The models that the engine has are offered all the time, because its orders did not fail
-// by a fault of the engine. Orders resume soon after the store's return. In the booking desk's run trouble-3 each
-// order waited for a renewal and then had no time left. The engine was avoided because of that, and models that it
-// had were not offered for eight seconds.
+// by a fault of the engine. Orders resume soon after the store's return. When each order waited for a renewal and then
+// had no time left, the engine was skipped as failing, and the models that it had were not offered for eight seconds.
 func TestStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := standin.NewPlatform()
@@ -118,8 +117,8 @@
 }
 
 // TestSlowUnloadDoesNotFailEngine: an unload that waits for requests for longer than a load takes must not count as
-// a failure of the engine. The load follows it, and few orders are refused meanwhile. In the booking desk's run
-// scale-1 the engine was avoided after 2.4 s, and busy models that it had were loaded again from the weight store.
+// a failure of the engine. The load follows it, and few orders are refused meanwhile. Otherwise the engine is skipped as
+// failing (after 2.4 s when this was seen), and busy models that it has are loaded again from the weight store.
 func TestSlowUnloadDoesNotFailEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := &busyEngine{recordingEngine: recordingEngine{fakeEngine: fakeEngine{models: map[string][]string{"m1": nil}}}, unloading: 6 * time.Second}
@@ -136,10 +135,10 @@
 			time.Sleep(200 * time.Millisecond)
 			h.mu.Lock()
 			e := h.fleet.Engine("e")
-			failing := e.Unsure || time.Now().Before(e.FailingUntil)
+			failing := e.MustBeRead || time.Now().Before(e.FailingUntil)
 			h.mu.Unlock()
 			if failing {
-				t.Fatal("the engine is avoided while its unload waits")
+				t.Fatal("the engine is skipped as failing while its unload waits")
 			}
 		}
 		if loads := engine.loads("m2"); len(loads) == 0 || len(engine.accepted) < 2 {
--- a/command/holder/worker.go
+++ b/command/holder/worker.go
@@ -17,7 +17,7 @@
 // errEngine is returned when an engine refused or failed an order, or when the result of the order is unknown.
 var errEngine = errors.New("holder: order failed")
 
-// worker executes the operations of one engine: those of models one after the other, those of adapters concurrently
+// worker executes the operations of one engine: those on models one after the other, those on adapters concurrently
 // with them.
 type worker struct {
 	h      *Holder
@@ -47,7 +47,7 @@
 	return w
 }
 
-// enqueue queues an operation.
+// enqueue queues an operation on a model. An operation on an adapter starts immediately.
 func (w *worker) enqueue(op replicas.Operation) {
 	if op.Load.Adapter != "" {
 		go w.loadAdapter(op)
@@ -59,7 +59,8 @@
 	w.start()
 }
 
-// requestRead has the engine read before its next operation. Operations planned on the earlier state are void then.
+// requestRead has the engine read before its next operation. Operations that were planned on the earlier state are no
+// longer current then.
 func (w *worker) requestRead() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,8 +76,8 @@
 	}
 }
 
-// next returns the next operation from the queue. read means that the engine has to be read first. more is false if
-// there is nothing to do.
+// next returns what to do next: an operation from the queue, or read if the engine has to be read first. more is false
+// if there is nothing to do; the worker then counts as not running.
 func (w *worker) next() (op replicas.Operation, read, more bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,6 +94,7 @@
 	return op, false, false
 }
 
+// run reads the engine and executes queued operations until there is nothing to do.
 func (w *worker) run() {
 	for {
 		op, read, more := w.next()
@@ -107,6 +109,7 @@
 	}
 }
 
+// loadAdapter executes the load of an adapter. It waits while the engine is read.
 func (w *worker) loadAdapter(op replicas.Operation) {
 	w.awaitStart(op)
 	w.adapterMu.RLock()
@@ -219,8 +222,8 @@
 	return pause.For(w.ctx, clock.Until(done))
 }
 
-// remoteTimeoutFactor times the expected duration is the time by which a load from the weight store may be late.
-// While the store's speed is unknown, all loads that are tried slow each other down.
+// remoteTimeoutFactor times the expected duration of a load from the weight store is how late the load may be. While the
+// throughput of the store is unknown, too many loads may run concurrently and slow each other down.
 const remoteTimeoutFactor = 4
 
 // awaitRemote waits for a load from the weight store, whose duration depends on the number of concurrent loads.
@@ -248,17 +251,18 @@
 	return errors.Wrapf(errEngine, "%s not loaded before the deadline %s", op.Load, deadline)
 }
 
+// readNeeded reports whether the engine must be read again and may be read now.
 func (w *worker) readNeeded() bool {
 	w.h.mu.Lock()
 	defer w.h.mu.Unlock()
 	return w.h.fleet.Readable(w.engine, clock.Now())
 }
 
-// maxReadAttempts bounds the attempts of one read. The next tick starts another.
+// maxReadAttempts bounds the attempts of one call of read. The next tick starts another.
 const maxReadAttempts = 5
 
-// read reads the engine until no order is in progress. No order is sent meanwhile, since operations planned on an
-// uncertain state are void.
+// read reads the engine's state until a report shows that no order is in progress, and adopts that report. No order is
+// sent meanwhile, since operations planned on an uncertain state are not current.
 func (w *worker) read() {
 	w.adapterMu.Lock()
 	defer w.adapterMu.Unlock()
@@ -287,6 +291,7 @@
 	}
 }
 
+// report asks the engine for its state. It fails if the report is from another process under the engine's ID.
 func (w *worker) report() (serving.Report, error) {
 	server, live := w.h.dir.Server(w.engine)
 	if !live {
--- a/command/lease/observation.go
+++ b/command/lease/observation.go
@@ -10,18 +10,18 @@
 // every renewal before it, had been sent by then. The zero Observation states nothing.
 type Observation struct {
 	Revision store.Revision
-	// At is on the clock of the instance that keeps the observation. That clock must include any suspension of the
-	// machine up to the moment: a time that is too early would let a successor send orders too early.
+	// At is read from the clock of the instance that keeps the observation, which must go on while the machine is
+	// suspended. Otherwise At is too early, and a successor that counts its waiting time from it sends orders too early.
 	At time.Time
 }
 
-// supersedes reports whether s is more useful than other: of a newer revision, or of the same one at an earlier
-// time.
-func (s Observation) supersedes(other Observation) bool {
-	if s.Revision != other.Revision {
-		return s.Revision > other.Revision
+// supersedes reports whether o gives a better bound than other: it is of a newer revision, or of the same one at an
+// earlier time.
+func (o Observation) supersedes(other Observation) bool {
+	if o.Revision != other.Revision {
+		return o.Revision > other.Revision
 	}
-	return s.At.Before(other.At)
+	return o.At.Before(other.At)
 }
 
 // RenewalAge is an observation sent to another instance, which has a different clock. Age is a lower bound of the
@@ -33,18 +33,18 @@
 
 // Observe records that the record was at revision at the given time.
 func (l *Lease) Observe(revision store.Revision, at time.Time) {
-	if s := (Observation{Revision: revision, At: at}); revision > 0 && s.supersedes(l.latest) {
-		l.latest = s
+	if o := (Observation{Revision: revision, At: at}); revision > 0 && o.supersedes(l.latest) {
+		l.latest = o
 	}
 }
 
-// ObserveRemote records what another instance reported in a response that arrived at now.
+// ObserveRemote records what another instance reported in a response that arrived at the time now.
 func (l *Lease) ObserveRemote(a RenewalAge, now time.Time) {
 	l.Observe(a.Revision, now.Add(-max(0, a.Age)))
 }
 
-// RenewalAge returns what to report to other instances at now. A holder knows when it last renewed the lease; other
-// instances report what they have observed.
+// RenewalAge returns what to report to other instances at the time now. A holder knows when it last renewed the lease;
+// other instances report what they have observed.
 func (l *Lease) RenewalAge(now time.Time) RenewalAge {
 	if l.held {
 		return RenewalAge{Revision: l.revision, Age: max(0, now.Sub(l.renewed))}
@@ -52,8 +52,10 @@
 	return RenewalAge{Revision: l.latest.Revision, Age: max(0, now.Sub(l.latest.At))}
 }
 
-// lastRenewal returns the latest time at which the holder that was replaced at replacedRevision can have sent
-// its last renewal.
+// lastRenewal returns the latest time at which the previous holder can have sent its last renewal. previous is its
+// record, replacedRevision the revision of that record when it was replaced. It returns now if the revision does not show
+// the last renewal: the renewals of the previous holder did not change the record (Renewals is 0), or the newest
+// observation is of another revision or later than now.
 func (l *Lease) lastRenewal(previous Record, replacedRevision store.Revision, now time.Time) time.Time {
 	if previous.Renewals == 0 || l.latest.Revision != replacedRevision || l.latest.At.After(now) {
 		return now
--- a/command/quota/lender.go
+++ b/command/quota/lender.go
@@ -273,7 +273,7 @@
 // targetShare returns the share that an instance should have according to its demand. A share that
 // cannot hold a mean request is not lent, since it would be idle. Nothing is lent of a limit that the
 // total demand exceeds: with queries only, requests are admitted in order of arrival. Together with
-// removing the pause between queries, this gained .018 +- .010 of worth (6 pairs of runs on the users'
+// removing the pause between queries, this gained .018 +- .010 of the score (6 pairs of runs on the users'
 // platform).
 func (l *Lender) targetShare(a *account, lo *loan) Share {
 	lendable, demand := l.lendable(a), a.demand()
--- a/command/replicas/adapters.go
+++ b/command/replicas/adapters.go
@@ -28,7 +28,7 @@
 		if !ok {
 			continue
 		}
-		r.notBefore = later(c.Ready, e.free(now))
+		r.notBefore = later(c.Ready, e.freeAt(now))
 		r.score += r.notBefore.Sub(now).Seconds()
 		if best.engine == nil || r.score < best.score {
 			best = r
@@ -85,7 +85,7 @@
 
 // adapterLoadPending reports whether adapter loads on the engine must finish before the next model load may start.
 // Adapters load in milliseconds, but cannot be loaded for seconds while a model is being loaded or an unload waits for
-// running requests. Loading adapters first gained .013 +- .007 of the score (24 pairs of days on the users' platform).
+// running requests. Loading adapters first gained .013 +- .007 of the score (24 paired runs on the users' platform).
 func (e *Engine) adapterLoadPending(now time.Time) bool {
 	for _, c := range e.Copies {
 		if c.State == Unloading {
@@ -108,7 +108,7 @@
 func (f *Fleet) Delayed(op Operation, wait time.Duration, now time.Time) {
 	ready := now.Add(wait + op.Duration)
 	if e := f.engines[op.Engine]; e != nil && op.Load.Adapter != "" {
-		ready = later(ready, e.free(now).Add(op.Duration))
+		ready = later(ready, e.freeAt(now).Add(op.Duration))
 	}
 	f.Expect(op, ready)
 }
--- a/command/replicas/adapters_test.go
+++ b/command/replicas/adapters_test.go
@@ -7,7 +7,8 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// testSpec has room for three models and two adapters.
+// testSpec returns an engine with memory for three models, which leaves 30 MB for adapters, and with slots for two
+// adapters.
 func testSpec(models ...string) *serving.EngineSpec {
 	spec := &serving.EngineSpec{Slots: 8, MemoryMB: 330, AdapterSlots: 2, RemoteLoadsPerSecond: 3, Models: map[string]serving.Model{}}
 	for _, name := range models {
@@ -38,22 +39,23 @@
 		f.Adopt(s.ID, serving.Report{Models: s.Models}, now)
 	}
 	f.SetComplete(true)
+	// The bound that deployments guarantee, see remotelimiter_test.go.
 	f.params.RemoteOverage = remoteOverage
-	f.refillRemoteTokens(f.remoteUse(), now.Add(-time.Hour)) // fills the token bucket
+	f.refillRemoteTokens(f.remoteUse(), now.Add(-time.Hour)) // an hour of refill fills the token bucket
 	f.refillRemoteTokens(f.remoteUse(), now)
 	return f
 }
 
-// TestReplannedAdapterStaysCounted: an adapter that is evicted for another one and planned again before its unload was
-// sent must stay counted. Otherwise the delayed unload removes the new plan from the record, and one adapter too many is
-// ordered (seen as limit violations in scenario scale-1).
-func TestReplannedAdapterStaysCounted(t *testing.T) {
+// TestReplannedAdapterKeepsSlot: an adapter that was evicted and planned again before its unload was sent keeps its
+// slot. Otherwise the late unload removes the record of the new load, and an engine is ordered to hold one adapter more
+// than it has slots for.
+func TestReplannedAdapterKeepsSlot(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m"), []string{"m"})
 	find := func(adapter string) *Operation {
 		t.Helper()
 		now = now.Add(5 * time.Second)
-		found, ok := f.Find("llm", serving.Unit{Model: "m", Adapter: adapter}, oneWaiting(1), now)
+		found, ok := f.Find("llm", serving.Unit{Model: "m", Adapter: adapter}, waitingOnTime(1), now)
 		if !ok || found.Start == nil {
 			t.Fatalf("adapter %s: %+v, %v", adapter, found, ok)
 		}
@@ -61,12 +63,12 @@
 	}
 	find("a1")
 	find("a2")
-	evicts1 := find("a3")
-	if len(evicts1.Unload) != 1 || evicts1.Unload[0].Adapter != "a1" {
-		t.Fatalf("a3 evicts %v, want a1", evicts1.Unload)
+	loadA3 := find("a3")
+	if len(loadA3.Unload) != 1 || loadA3.Unload[0].Adapter != "a1" {
+		t.Fatalf("a3 evicts %v, want a1", loadA3.Unload)
 	}
 	find("a1") // requested again, replaces a2
-	f.Unloaded(*evicts1, evicts1.Unload[0])
+	f.Unloaded(*loadA3, loadA3.Unload[0])
 	if n := f.Engine("a-engine").adapters(); n != 2 {
 		t.Errorf("%d adapters counted, want 2", n)
 	}
@@ -88,30 +90,31 @@
 	f := testFleet(now, spec, []string{"small", "large", "third"}) // 30 MB are free
 	find := func(model, adapter string) Found {
 		now = now.Add(5 * time.Second)
-		found, _ := f.Find("llm", serving.Unit{Model: model, Adapter: adapter}, oneWaiting(1), now)
+		found, _ := f.Find("llm", serving.Unit{Model: model, Adapter: adapter}, waitingOnTime(1), now)
 		return found
 	}
 	find("small", "a1")
 	find("large", "a1")
 	found := find("large", "a2")
 	if found.Start == nil || len(found.Start.Unload) != 1 || found.Start.Unload[0].Model != "large" {
-		t.Errorf("%+v, want the other large adapter evicted", found.Start)
+		t.Errorf("operation %+v, want the other large adapter evicted", found.Start)
 	}
 	if used := f.Engine("a-engine").memoryMB(); used > spec.MemoryMB {
 		t.Errorf("%v MB counted, of %v", used, spec.MemoryMB)
 	}
 	spec.AdapterSlots = 9 // slots are free, memory is not
 	if found := find("small", "a2"); found.Start == nil || len(found.Start.Unload) != 1 {
-		t.Errorf("%+v, want an adapter evicted for its memory", found.Start)
+		t.Errorf("operation %+v, want an adapter evicted for its memory", found.Start)
 	}
 }
 
-// TestOperationVoidAfterAdopt: an operation that was planned on a record that was replaced since is void. Otherwise an
-// engine gets more models than fit (seen as limit violations in scenario trouble-1 on two deployments).
-func TestOperationVoidAfterAdopt(t *testing.T) {
+// TestOperationNotCurrentAfterAdopt: an operation is no longer current once the engine's record that it was planned on
+// has been replaced. Otherwise an engine is ordered to hold more models than fit its memory, as was seen on two
+// deployments.
+func TestOperationNotCurrentAfterAdopt(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
-	if _, ok := f.Find("llm", serving.Unit{Model: "m4"}, oneWaiting(1), now); !ok {
+	if _, ok := f.Find("llm", serving.Unit{Model: "m4"}, waitingOnTime(1), now); !ok {
 		t.Fatal("no engine for m4")
 	}
 	operations := f.Dispatch(now)
@@ -130,15 +133,16 @@
 	f := testFleet(now, testSpec("m1"), []string{"m1"})
 	f.Ordered("a-engine")
 	f.Adopt("a-engine", serving.Report{}, now)
-	if e := f.Engine("a-engine"); len(e.Copies) != 1 || !e.Unsure {
-		t.Errorf("copies %v, unsure %v: the report of another process was adopted", e.Copies, e.Unsure)
+	if e := f.Engine("a-engine"); len(e.Copies) != 1 || !e.MustBeRead {
+		t.Errorf("copies %v, must be read again %v: the report of another process was adopted", e.Copies, e.MustBeRead)
 	}
 }
 
-// TestAdapterOperationVoidOnceCopyIsEvicted: an adapter's load that the engine has refused so far is void once the copy
-// of its model is evicted, even if the model is loaded again on that engine. Otherwise a retry is accepted by the new
-// copy, and the engine has an adapter that is not counted (seen as a limit violation in scenario trouble-1, seed 14).
-func TestAdapterOperationVoidOnceCopyIsEvicted(t *testing.T) {
+// TestAdapterOperationNotCurrentOnceCopyIsEvicted: a copy is a model loaded on one engine. An adapter load that the
+// engine has refused so far is no longer current once the copy of its model is evicted, even if the model is loaded
+// again on that engine. Otherwise the engine accepts a retry for the new copy and holds an adapter that is not counted,
+// so that it can exceed its adapter slots.
+func TestAdapterOperationNotCurrentOnceCopyIsEvicted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
 	found, ok := f.Find("llm", serving.Unit{Model: "m1", Adapter: "a1"}, Waiting{}, now)
@@ -163,14 +167,14 @@
 		t.Error("adapter operation is still current although the copy that it was planned on is gone")
 	}
 	f.Failed(*found.Start, now)
-	if e.Unsure || now.Before(e.FailingUntil) {
-		t.Error("engine is skipped after the failure of a void operation")
+	if e.MustBeRead || now.Before(e.FailingUntil) {
+		t.Error("engine is skipped after the failure of an operation that is not current")
 	}
 }
 
 // TestPendingAdapterLoadDelaysModelLoad: a pending adapter load goes before the next model load, which would block the
-// engine for long, but delays it only for a limited time. An adapter load that is refused meanwhile is expected once the
-// engine is free.
+// engine for long, but delays it only for a limited time. If the engine refuses the adapter load because the model is
+// being loaded, the adapter's expected ready time is no earlier than the end of that load.
 func TestPendingAdapterLoadDelaysModelLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
@@ -179,17 +183,17 @@
 	if operations := requestModel(t, f, "m4", now); len(operations) > 0 {
 		t.Fatalf("%+v planned before the adapter was loaded", operations)
 	}
-	late := found.Start.Ready.Add(adapterLoadGrace)
-	if operations := requestModel(t, f, "m4", late); len(operations) != 1 {
-		t.Fatalf("%d operations %s after the adapter should have been loaded, want 1", len(operations), adapterLoadGrace)
+	graceOver := found.Start.Ready.Add(adapterLoadGrace)
+	if operations := requestModel(t, f, "m4", graceOver); len(operations) != 1 {
+		t.Fatalf("%d operations %s after the adapter should have been loaded, want 1 model load", len(operations), adapterLoadGrace)
 	}
 	e := f.Engine("a-engine")
-	f.Delayed(*found.Start, 20*time.Millisecond, late)
+	f.Delayed(*found.Start, 20*time.Millisecond, graceOver)
 	if ready := e.Copies["m1"].Adapters["a1"].Ready; ready.Before(e.FreeAt) {
 		t.Errorf("adapter is expected %s before the engine is free", e.FreeAt.Sub(ready))
 	}
-	f.Done(*found.Start, late)
-	if e.adapterLoadPending(late) {
+	f.Done(*found.Start, graceOver)
+	if e.adapterLoadPending(graceOver) {
 		t.Error("adapter that is loaded still delays model loads")
 	}
 }
--- a/command/replicas/admit.go
+++ b/command/replicas/admit.go
@@ -10,10 +10,10 @@
 // The share is the served rate divided by the requested rate, corrected by the distance of the load from its target.
 // An instance that uses the load alone oscillates between admitting everything and nothing: its view of the load is
 // two seconds old, and the queues of a model that gets three times the requests it can serve fill up within one second
-// (2,800 refusals in one day, two thirds of them at a share of 0, and no more requests on time than without refusals).
+// (2,800 refusals in one run, two thirds of them at a share of 0, and no more requests on time than without refusals).
 //
 // For a model that gets 1.1 times the requests its engines can serve, 12 in 100 requests are on time without refusals,
-// and 59 with them (TestAdmission). On a day with 195 instances, engines refused 10 in 100 sends without it and 5 with
+// and 59 with them (TestAdmission). In a run with 195 instances, engines refused 10 in 100 sends without it and 5 with
 // it, and 4 in 100 more of the requests with an objective of 400 ms were on time; the total score was the same within
 // the noise.
 const (
--- a/command/replicas/bench_test.go
+++ b/command/replicas/bench_test.go
@@ -16,10 +16,10 @@
 			now := time.Unix(1000, 0)
 			f := busyFleet(now, engines)
 			for i := range 20 {
-				f.Find("llm", serving.Unit{Model: fmt.Sprintf("m%d", 3*engines+i)}, oneWaiting(1), now)
+				f.Find("llm", serving.Unit{Model: fmt.Sprintf("m%d", 3*engines+i)}, waitingOnTime(1), now)
 			}
 			for b.Loop() {
-				f.Find("llm", serving.Unit{Model: fmt.Sprintf("m%d", 3*engines+21)}, oneWaiting(1), now)
+				f.Find("llm", serving.Unit{Model: fmt.Sprintf("m%d", 3*engines+21)}, waitingOnTime(1), now)
 				f.Dispatch(now)
 			}
 		})
@@ -69,7 +69,7 @@
 						e.Tiers[model] = serving.TierRemote
 					}
 				}
-				f.Find("llm", serving.Unit{Model: model}, oneWaiting(1), now)
+				f.Find("llm", serving.Unit{Model: model}, waitingOnTime(1), now)
 			}
 			f.index = index{}
 			for i, e := range f.Engines() {
@@ -94,7 +94,7 @@
 	now := time.Unix(1000, 0)
 	f := busyFleet(now, engines)
 	for i := range waited {
-		f.Find("llm", serving.Unit{Model: fmt.Sprintf("m%d", 5*engines-1-i)}, oneWaiting(1), now)
+		f.Find("llm", serving.Unit{Model: fmt.Sprintf("m%d", 5*engines-1-i)}, waitingOnTime(1), now)
 	}
 	for _, e := range f.Engines() {
 		e.Busy = false
--- a/command/replicas/dispatch.go
+++ b/command/replicas/dispatch.go
@@ -7,7 +7,7 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Found is the engine on which a unit is loaded or will be.
+// Found states on which engine a unit is loaded or will be.
 type Found struct {
 	// Engine is empty until it is decided which engine loads the unit.
 	Engine string
@@ -19,9 +19,9 @@
 	WaitReason serving.Wait
 }
 
-// Find returns where a unit of a service is loaded or will be. A model that no engine has becomes wanted; Dispatch
-// decides which engine loads it, as late as possible, since more is known then. waiting describes the requests that wait
-// for the unit at the calling instance. ok is false if no engine can take the unit.
+// Find returns where a unit of a service is loaded or will be. A model that no engine has is recorded as wanted.
+// Dispatch decides which engine loads it, as late as possible, when the state of the engines is known best. waiting
+// describes the requests that wait for the unit at the calling instance. ok is false if no engine can load the unit.
 func (f *Fleet) Find(service string, unit serving.Unit, waiting Waiting, now time.Time) (found Found, ok bool) {
 	if waiting.value() > 0 {
 		f.SetWaiting(service, unit.Model, waiting, now)
@@ -37,7 +37,7 @@
 	}
 	w := f.wantedModels[unit.Model]
 	if w == nil {
-		return Found{}, false // no request waits
+		return Found{}, false // no request is waiting for the model
 	}
 	if !w.estimatedReady.After(now) {
 		f.updateWantedValue(now)
@@ -50,7 +50,8 @@
 	return Found{Ready: w.estimatedReady, WaitReason: w.waitReason}, true
 }
 
-// estimateReady returns when a wanted model is expected to be ready. ok is false if no engine can load it.
+// estimateReady returns when a wanted model is expected to be ready, and records what it waits for. It returns false if
+// no engine can load it.
 func (f *Fleet) estimateReady(w *wantedModel, now time.Time) (time.Time, bool) {
 	w.benefit = f.benefitOf(w, now)
 	if c, ok := f.bestPlacement(w, nil, now); ok {
@@ -60,8 +61,9 @@
 	return f.remoteQueueReady(w, now)
 }
 
-// placementReady returns when a wanted model is expected to be ready with a placement option: once its benefit exceeds
-// the cost of the evictions, and behind the models of higher benefit, whose loads are spread over all engines.
+// placementReady returns when a wanted model is expected to be ready with a placement option: its load starts once its
+// benefit exceeds the cost of the evictions, and after the loads of models of higher benefit, which are spread over all
+// engines.
 func (f *Fleet) placementReady(w *wantedModel, c placementOption, now time.Time) time.Time {
 	ahead := 0
 	for _, other := range f.wantedModels {
@@ -76,8 +78,9 @@
 	return c.ready.Add(delay + queueDelay)
 }
 
-// remoteQueueReady returns when a wanted model that must come from the weight store is expected to be ready, queued
-// behind the current loads and the models of higher precedence that must come from there as well.
+// remoteQueueReady returns when a wanted model that must be loaded from the weight store is expected to be ready, after
+// the current loads from there and those of models that take precedence. It returns false if an engine has the weights
+// or no engine can load them.
 func (f *Fleet) remoteQueueReady(w *wantedModel, now time.Time) (time.Time, bool) {
 	var load time.Duration
 	slots := make([]time.Time, 0, f.store.limit())
@@ -97,15 +100,15 @@
 	}
 	for _, other := range f.wantedModels {
 		if f.copiesOf(other.model, now) == 0 && other.precedes(w) && len(f.caching(other.model)) == 0 {
-			first := earliest(slots)
+			first := earliestIndex(slots)
 			slots[first] = slots[first].Add(load)
 		}
 	}
-	return slots[earliest(slots)].Add(load + f.params.OrderTime), true
+	return slots[earliestIndex(slots)].Add(load + f.params.OrderTime), true
 }
 
-// earliest returns the index of the earliest time.
-func earliest(times []time.Time) int {
+// earliestIndex returns the index of the earliest time.
+func earliestIndex(times []time.Time) int {
 	first := 0
 	for i, t := range times {
 		if t.Before(times[first]) {
@@ -115,7 +118,7 @@
 	return first
 }
 
-// byBenefit returns the wanted models without a copy and the models that need a proactive load, highest benefit first.
+// byBenefit returns the wanted models that have no copy and the models to load proactively, highest benefit first.
 func (f *Fleet) byBenefit(now time.Time) []*wantedModel {
 	models := f.proactiveLoads(now)
 	for _, w := range f.wantedModels {
@@ -130,12 +133,12 @@
 	return models
 }
 
-// lookAhead is how many wanted models are considered beyond the number of free engines, since some of them wait for
-// busy engines.
+// lookAhead is how many models are considered in addition to the number of free engines, since some of them are better
+// placed on busy engines.
 const lookAhead = 16
 
-// Dispatch starts loads of wanted models on free engines, highest benefit first. A model for which a busy engine is the
-// better option keeps waiting, and so does one whose benefit is lower than the cost of its placement.
+// Dispatch starts loads of wanted models on free engines, highest benefit first. A model keeps waiting if a busy engine is
+// its best option, or if its benefit is lower than the cost of its placement.
 func (f *Fleet) Dispatch(now time.Time) []Operation {
 	if f.suspended {
 		return nil
@@ -146,9 +149,9 @@
 	f.expireWaiting(now)
 	f.remoteLimiter.start(now)
 	f.updateWantedValue(now)
-	free := len(f.free(now))
+	free := len(f.freeEngines(now))
 	if free == 0 {
-		return nil // ranking the models would only take time of a busy holder
+		return nil // saves the holder the time to rank the models
 	}
 	models := f.byBenefit(now)
 	for i, w := range models {
@@ -178,7 +181,8 @@
 	return operations
 }
 
-// findCopy returns the copy that serves the unit or will be the first to.
+// findCopy returns the engine whose copy is the first to serve the unit, now or later, and records that the copy is in
+// use. It returns false if there is none.
 func (f *Fleet) findCopy(service string, unit serving.Unit, now time.Time) (best Found, ok bool) {
 	var chosen *Copy
 	for _, e := range f.holding(unit.Model) {
--- a/command/replicas/eviction.go
+++ b/command/replicas/eviction.go
@@ -20,8 +20,9 @@
 
 // useProbability returns the probability that requests run on a copy. In a large fleet, instances report their running
 // requests only once per second. In between, requests may have started that Find directed to the copy, and
-// instances that know the copy may have sent it requests at the rate of its model. Without this, 2,052 of 3,672 load orders were refused on a quiet day with 195
-// instances, since the unload before them waited for requests, and one load in ten took 1.44 s instead of .69 s.
+// instances that know the copy may have sent it requests at the rate of its model. Without this, in a run with 195
+// instances and little traffic, 2,052 of 3,672 load orders were refused because the unload before them waited for
+// requests, and one load in ten took 1.44 s instead of .69 s.
 func (f *Fleet) useProbability(c *Copy, model string, now time.Time) float64 {
 	if c.Running > 0 || now.Before(c.inUseUntil) {
 		return 1
--- a/command/replicas/fleet.go
+++ b/command/replicas/fleet.go
@@ -2,8 +2,8 @@
 // known state of the engines and the demand, its outputs are operations, which the lease holder carries out.
 //
 // Fleet is the lease holder's record of all engines. The engines' memory limits hold whoever has the lease: each order
-// names the engine's sequence on which it was decided, and an engine whose sequence is uncertain is marked Unsure, so
-// that nothing is planned on it until its state has been read again.
+// names the engine's sequence on which it was decided, and an engine whose sequence is uncertain is marked MustBeRead,
+// so that nothing is planned on it until its state has been read again.
 package replicas
 
 import (
@@ -69,8 +69,8 @@
 	Sequence int64
 	Copies   map[string]*Copy
 	Tiers    map[string]serving.Tier
-	// Unsure: the engine's state must be read again before anything is planned on it.
-	Unsure bool
+	// MustBeRead: the engine's state must be read again before anything is planned on it.
+	MustBeRead bool
 	// orderUnanswered: the answer to an order on unansweredSequence was lost.
 	orderUnanswered    bool
 	unansweredSequence int64
@@ -89,8 +89,8 @@
 	// weight store was planned. remoteStarted is when the engine accepted it, zero until then.
 	remoteConcurrency int
 	remoteStarted     time.Time
-	// inheritedBusySince is since when an Unsure engine has been carrying out an order of a previous holder, zero if it
-	// is not.
+	// inheritedBusySince is since when an engine that must be read has been carrying out an order of a previous
+	// holder, zero if it is not.
 	inheritedBusySince time.Time
 	// FailingUntil is until when the engine is skipped after failed orders.
 	FailingUntil time.Time
@@ -98,7 +98,7 @@
 	// heldBackUntil is until when the engine accepts no additional requests for its units, see HoldBack.
 	heldBackUntil time.Time
 	// generation counts how often the record was replaced or found to be wrong. Operations of an earlier generation are
-	// void.
+	// not current, see Current.
 	generation uint64
 }
 
@@ -154,8 +154,8 @@
 // Engine returns the record of one engine, nil if it is not known.
 func (f *Fleet) Engine(id string) *Engine { return f.engines[id] }
 
-// SetServers sets the engines and what they announce; engines that are not in servers are dropped. New engines are
-// Unsure. spec returns the specification of a service's engines, nil for a service without engines.
+// SetServers sets the engines and what they announce; engines that are not in servers are dropped. New engines
+// must be read. spec returns the specification of a service's engines, nil for a service without engines.
 func (f *Fleet) SetServers(servers []serving.Server, spec func(service string) *serving.EngineSpec) {
 	seen := map[string]bool{}
 	for _, s := range servers {
@@ -191,7 +191,7 @@
 // is nil if there is none. The new record has no state of the previous process. It is not read, and so gets no orders,
 // while an order to the previous process may still arrive.
 func restarted(before *Engine, s serving.Server) *Engine {
-	e := &Engine{Unsure: true, Copies: map[string]*Copy{}}
+	e := &Engine{MustBeRead: true, Copies: map[string]*Copy{}}
 	e.adopt(s.Models, 0, time.Time{})
 	if before == nil {
 		return e
@@ -230,7 +230,7 @@
 		e.Tiers = r.Tiers
 		f.index.cached = nil
 	}
-	e.Unsure, e.Busy, e.orderUnanswered = false, false, false
+	e.MustBeRead, e.Busy, e.orderUnanswered = false, false, false
 	e.inheritedBusySince = time.Time{}
 	e.generation++
 }
@@ -271,7 +271,7 @@
 
 // usable reports whether anything may be loaded on the engine.
 func (e *Engine) usable(now time.Time) bool {
-	return !e.Unsure && e.acceptsRequests(now)
+	return !e.MustBeRead && e.acceptsRequests(now)
 }
 
 // acceptsRequests reports whether the engine accepts requests for its units.
--- a/command/replicas/hostmemory.go
+++ b/command/replicas/hostmemory.go
@@ -7,9 +7,9 @@
 )
 
 // hostMemoryStats tracks whether loads take as long as configured where an engine is expected to have the weights in
-// its host memory. The announcements of engines are seconds old and do not show which weights were dropped since. On a
-// quiet day of the users' platform with 124 engines, 191 of 270 such loads took as long as loads from disk, and 195
-// requests were sent too early and refused for that reason.
+// its host memory. The announcements of engines are seconds old and do not show which weights were dropped since. In a
+// run on the users' platform with 124 engines and little traffic, 191 of 270 such loads took as long as loads from disk,
+// and 195 requests were sent too early and refused for that reason.
 type hostMemoryStats struct {
 	// loads is the number of loads expected from host memory, slow the number of those that took longer, both decayed.
 	// skipped counts the loads expected from disk instead since the last one expected from host memory.
--- a/command/replicas/limit.go
+++ b/command/replicas/limit.go
@@ -42,7 +42,7 @@
 	if e == nil {
 		return limits.Engine{Exists: !f.complete}
 	}
-	return limits.Engine{Exists: true, UpToDate: !e.Unsure, Holds: e.Copies[model] != nil, Sequence: e.Sequence}
+	return limits.Engine{Exists: true, UpToDate: !e.MustBeRead, Holds: e.Copies[model] != nil, Sequence: e.Sequence}
 }
 
 // Trim plans the unloads that the operators' limits require: copies beyond a lowered number, and copies in failure
@@ -52,7 +52,7 @@
 		return nil
 	}
 	var operations []Operation
-	for _, e := range f.free(now) {
+	for _, e := range f.freeEngines(now) {
 		for model, c := range e.Copies {
 			if c.State == Resident && f.surplus(e, model) {
 				operations = append(operations, f.startUnload(e, model, now))
--- a/command/replicas/limit_test.go
+++ b/command/replicas/limit_test.go
@@ -41,7 +41,7 @@
 			f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"}, []string{"m2"})
 			f.SetLimits(c.source)
 			f.RecordArrivals(c.model, arrivals(40), now)
-			f.Find("llm", serving.Unit{Model: c.model}, oneWaiting(1), now)
+			f.Find("llm", serving.Unit{Model: c.model}, waitingOnTime(1), now)
 			if n := len(append(f.Dispatch(now), f.Dispatch(now.Add(proactiveInterval))...)); n != c.want {
 				t.Errorf("%d operations, want %d", n, c.want)
 			}
--- a/command/replicas/params.go
+++ b/command/replicas/params.go
@@ -18,7 +18,7 @@
 	AdapterKeepTime time.Duration
 	// CopyShare is the share of an engine's slots that the requests for one model, of all instances together, may take
 	// before another copy is worth its memory. A copy for every 12 requests, on engines with 64 slots, left too little
-	// memory for rare models: .023 +- .007 of the score (24 pairs of days on the users' platform).
+	// memory for rare models: .023 +- .007 of the score (24 paired runs on the users' platform).
 	CopyShare float64
 	// SpareRate is the rate, in requests per second, from which a model gets a second copy, so that the loss of an
 	// engine does not interrupt it.
--- a/command/replicas/place.go
+++ b/command/replicas/place.go
@@ -11,7 +11,7 @@
 	Engine string
 	Unload []serving.Unit
 	Load   serving.Unit
-	// Remote: the load comes from the weight store.
+	// Remote is set if the load comes from the weight store.
 	Remote bool
 	// From is when the first order may be sent; an adapter's load waits for its model.
 	From time.Time
@@ -19,31 +19,34 @@
 	Ready time.Time
 	// Duration is the expected duration of the load alone.
 	Duration time.Duration
-	// InUse: requests probably ran on the units to unload when the operation was planned.
+	// InUse is set if requests probably ran on the units to unload when the operation was planned.
 	InUse bool
 	// generation is the generation of the engine's record on which the operation was planned.
 	generation uint64
-	// copy is the copy for which an adapter is loaded, nil for models.
+	// copy is the copy of the model for which an adapter is loaded, nil if a model is loaded.
 	copy *Copy
 }
 
-// placementOption is an engine that could take a model, and at what cost.
+// placementOption is an engine that could load a model, with the cost of that.
 type placementOption struct {
 	engine *Engine
 	evict  []string
-	// inUse: requests probably run on the copies to evict.
+	// inUse is set if requests probably run on the copies to evict.
 	inUse bool
-	tier  serving.Tier
+	// tier is the tier from which the engine would load the weights.
+	tier serving.Tier
 	// concurrency is the number of concurrent loads from the weight store, this one included.
 	concurrency int
-	ready       time.Time
+	// ready is when the load is expected to be done.
+	ready time.Time
 	// evictionCost is the cost of the evictions. minBenefit is the benefit that the load must have: the eviction cost
-	// plus the engine time; without the latter, six days on the users' platform scored .029 +- .008 less (24 pairs).
-	// cost ranks the options: minBenefit plus the waiting time. All are in seconds of waiting of a request of weight 1.
+	// plus the cost of the engine's time. Without the latter, the score on the users' platform was .029 +- .008 lower
+	// over six workloads (24 paired runs). cost ranks the options: the eviction cost, the cost of the engine's time and
+	// the cost of waiting until ready. All are in seconds of waiting of a request of weight 1.
 	evictionCost, minBenefit, cost float64
 }
 
-// waitReason returns what requests wait for that get this option after delay.
+// waitReason returns what the requests for the model wait for if the operation may start after delay.
 func (c placementOption) waitReason(delay time.Duration) serving.Wait {
 	switch {
 	case delay > 0 || c.inUse:
@@ -55,9 +58,10 @@
 	}
 }
 
-// bestPlacement returns the option with the lowest cost to load a wanted model. reserved is how long engines will be
-// busy with models of higher benefit, by engine. Engines without the weights are considered only if no engine that has
-// them is free soon enough.
+// bestPlacement returns the option with the lowest cost to load a wanted model, and false if there is none. reserved is
+// how long engines will be busy with models of higher benefit, by engine. Engines that would load the weights from the
+// weight store are considered only if no engine that has them in its host memory or on its disk could have the model
+// ready within the duration of such a load.
 func (f *Fleet) bestPlacement(w *wantedModel, reserved map[string]time.Duration, now time.Time) (best placementOption, ok bool) {
 	best, ok = f.bestPlacementAmong(f.caching(w.model), w, reserved, remoteState{}, now)
 	if ok && best.ready.Sub(now) < best.engine.Spec.Models[w.model].RemoteLoad {
@@ -67,14 +71,14 @@
 	if !remote.allowed {
 		return best, ok
 	}
-	if other, found := f.bestPlacementAmong(f.free(now), w, reserved, remote, now); found && (!ok || other.cost < best.cost) {
+	if other, found := f.bestPlacementAmong(f.freeEngines(now), w, reserved, remote, now); found && (!ok || other.cost < best.cost) {
 		return other, true
 	}
 	return best, ok
 }
 
-// free returns when the next load could start on the engine.
-func (e *Engine) free(now time.Time) time.Time {
+// freeAt returns when the next load could start on the engine.
+func (e *Engine) freeAt(now time.Time) time.Time {
 	at := later(e.NotBefore, now)
 	if e.Busy {
 		at = later(e.FreeAt, at)
@@ -82,17 +86,18 @@
 	return at
 }
 
-// free returns the engines on which a load could start now.
-func (f *Fleet) free(now time.Time) []*Engine {
+// freeEngines returns the engines on which a load could start now.
+func (f *Fleet) freeEngines(now time.Time) []*Engine {
 	var free []*Engine
 	for _, e := range f.Engines() {
-		if e.usable(now) && !e.free(now).After(now) {
+		if e.usable(now) && !e.freeAt(now).After(now) {
 			free = append(free, e)
 		}
 	}
 	return free
 }
 
+// bestPlacementAmong returns the option with the lowest cost on the given engines, and false if there is none.
 func (f *Fleet) bestPlacementAmong(engines []*Engine, w *wantedModel, reserved map[string]time.Duration, remote remoteState, now time.Time) (best placementOption, ok bool) {
 	for _, e := range engines {
 		if e.Server.Service != w.service || !e.usable(now) || e.Copies[w.model] != nil {
@@ -106,7 +111,8 @@
 	return best, ok
 }
 
-// evaluatePlacement returns the cost of loading a wanted model on the engine. It returns false if that is not possible.
+// evaluatePlacement returns the option to load a wanted model on the engine, with its costs. It returns false if the
+// engine cannot load the model, or if it would have to use the weight store and the load is not worth that.
 func (f *Fleet) evaluatePlacement(e *Engine, w *wantedModel, reserved time.Duration, remote remoteState, now time.Time) (placementOption, bool) {
 	m, known := e.Spec.Models[w.model]
 	if !known || !f.permitted(e, w.model) {
@@ -129,7 +135,7 @@
 	}
 	unload := evicted.wait + time.Duration(len(evicted.models))*f.unloadTimes.idle
 	c := placementOption{concurrency: remote.concurrency, engine: e, evict: evicted.models, inUse: evicted.inUse, tier: tier, evictionCost: evicted.cost, minBenefit: evicted.cost}
-	c.ready = e.free(now).Add(reserved + f.params.OrderTime + unload + load)
+	c.ready = e.freeAt(now).Add(reserved + f.params.OrderTime + unload + load)
 	minTimeCost := max(timeCost, f.params.EngineTimeCost)
 	if w.proactive {
 		timeCost = minTimeCost
@@ -141,7 +147,7 @@
 	return c, true
 }
 
-// startLoad records and returns the operation of an option.
+// startLoad records that a model is loaded by an option, and returns the operation to carry out.
 func (f *Fleet) startLoad(c placementOption, model string, now time.Time) Operation {
 	e := c.engine
 	op := Operation{
@@ -167,8 +173,8 @@
 	return op
 }
 
-// markCached records that a load leaves a copy of the weights in the engine's host memory. Which weights the engine
-// drops from host memory for that is known from its next announcement, so all others are assumed to be on disk.
+// markCached records that a load leaves the weights in the engine's host memory. Until the engine's next announcement,
+// it is not known which weights it dropped from host memory to make room, so all others are assumed to be on its disk.
 func (f *Fleet) markCached(e *Engine, model string) {
 	if e.Tiers[model] == serving.TierRemote {
 		f.index.cached = nil
@@ -181,6 +187,7 @@
 	}
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -188,6 +195,7 @@
 	return b
 }
 
+// compareFloat orders by the numbers and then, for equal numbers, by the names.
 func compareFloat(a, b float64, nameA, nameB string) int {
 	switch {
 	case a < b:
--- a/command/replicas/place_test.go
+++ b/command/replicas/place_test.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// oneWaiting is the report of a test's only instance, with requests of the given weight that are on time.
-func oneWaiting(value float64) Waiting { return Waiting{Instance: "instance", OnTime: value} }
+// waitingOnTime is the report of a test's only instance: waiting requests of the given total weight that can still be
+// answered within their objective.
+func waitingOnTime(weight float64) Waiting { return Waiting{Instance: "instance", OnTime: weight} }
 
 // arrivals are n requests of weight 1 that all miss their objective if they wait for a load.
 func arrivals(n int) Arrivals { return Arrivals{Count: n, Weight: float64(n), Late: float64(n)} }
@@ -33,7 +34,7 @@
 // requestModel requests a model and returns the operations that are started.
 func requestModel(t *testing.T, f *Fleet, model string, now time.Time) []Operation {
 	t.Helper()
-	if _, ok := f.Find("llm", serving.Unit{Model: model}, oneWaiting(1), now); !ok {
+	if _, ok := f.Find("llm", serving.Unit{Model: model}, waitingOnTime(1), now); !ok {
 		t.Fatalf("no engine for %s", model)
 	}
 	return f.Dispatch(now)
@@ -104,8 +105,8 @@
 	f.Done(first[0], now)
 	for range 10 { // the requests for m4 still wait to be sent
 		now = now.Add(50 * time.Millisecond)
-		f.Find("llm", serving.Unit{Model: "m4"}, oneWaiting(1), now)
-		f.Find("llm", serving.Unit{Model: first[0].Unload[0].Model}, oneWaiting(1), now)
+		f.Find("llm", serving.Unit{Model: "m4"}, waitingOnTime(1), now)
+		f.Find("llm", serving.Unit{Model: first[0].Unload[0].Model}, waitingOnTime(1), now)
 		for _, op := range f.Dispatch(now) {
 			for _, unit := range op.Unload {
 				if unit.Model == "m4" {
@@ -124,7 +125,7 @@
 	others := []string{"m1", "m2", "m3", "m4", "m5", "m6"}
 	for i := range 400 {
 		now = now.Add(50 * time.Millisecond)
-		f.Find("llm", serving.Unit{Model: "rare"}, oneWaiting(1), now)
+		f.Find("llm", serving.Unit{Model: "rare"}, waitingOnTime(1), now)
 		for _, model := range others {
 			if f.copiesOf(model, now) == 0 {
 				f.Find("llm", serving.Unit{Model: model}, Waiting{Instance: "other", OnTime: 3}, now)
@@ -165,7 +166,7 @@
 		if busy != "" {
 			f.RecordArrivals(busy, arrivals(20), now)
 		}
-		f.Find("llm", serving.Unit{Model: "wanted"}, oneWaiting(100), now)
+		f.Find("llm", serving.Unit{Model: "wanted"}, waitingOnTime(100), now)
 		operations := f.Dispatch(now)
 		if len(operations) != 1 || len(operations[0].Unload) != want {
 			t.Errorf("busy %q: %+v, want %d evicted", busy, operations, want)
@@ -192,8 +193,8 @@
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4", "m5"), []string{"m1", "m2", "m3"})
 	e := f.Engine("a-engine")
 	e.Busy, e.FreeAt = true, now.Add(time.Second)
-	f.Find("llm", serving.Unit{Model: "m4"}, oneWaiting(1), now)
-	f.Find("llm", serving.Unit{Model: "m5"}, oneWaiting(5), now)
+	f.Find("llm", serving.Unit{Model: "m4"}, waitingOnTime(1), now)
+	f.Find("llm", serving.Unit{Model: "m5"}, waitingOnTime(5), now)
 	if operations := f.Dispatch(now); len(operations) != 0 {
 		t.Fatalf("%+v started on a busy engine", operations)
 	}
@@ -280,11 +281,11 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "passes")) * time.Millisecond)
 			switch rapid.SampledFrom([]string{"want", "want", "want", "adapter", "end", "end", "fail", "read"}).Draw(t, "what") {
 			case "want":
-				f.Find("llm", serving.Unit{Model: rapid.SampledFrom(names).Draw(t, "model")}, oneWaiting(1), now)
+				f.Find("llm", serving.Unit{Model: rapid.SampledFrom(names).Draw(t, "model")}, waitingOnTime(1), now)
 				running = append(running, f.Dispatch(now)...)
 			case "adapter":
 				unit := serving.Unit{Model: rapid.SampledFrom(names).Draw(t, "model"), Adapter: rapid.SampledFrom([]string{"a1", "a2", "a3", "a4"}).Draw(t, "adapter")}
-				if found, ok := f.Find("llm", unit, oneWaiting(1), now); ok && found.Start != nil {
+				if found, ok := f.Find("llm", unit, waitingOnTime(1), now); ok && found.Start != nil {
 					running = append(running, *found.Start)
 				}
 			case "end", "fail":
@@ -305,7 +306,7 @@
 				}
 				f.Done(op, now)
 			case "read":
-				for _, id := range f.Unsure(now) {
+				for _, id := range f.EnginesToRead(now) {
 					f.Adopt(id, serving.Report{Models: map[string][]string{"m1": nil, "m2": {"a1"}}, Sequence: 1 << 30}, now)
 				}
 			}
@@ -331,14 +332,14 @@
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1", "m2", "m3"})
 	e := f.Engine("a-engine")
 	e.NotBefore = now.Add(3 * time.Second)
-	found, ok := f.Find("llm", serving.Unit{Model: "m4"}, oneWaiting(1), now)
+	found, ok := f.Find("llm", serving.Unit{Model: "m4"}, waitingOnTime(1), now)
 	if !ok || found.Ready.Before(now.Add(4*time.Second)) {
 		t.Errorf("%+v, want ready after the wait and the load", found)
 	}
 	if operations := f.Dispatch(now); len(operations) != 0 {
 		t.Errorf("%+v started before NotBefore", operations)
 	}
-	if found, ok := f.Find("llm", serving.Unit{Model: "m1"}, oneWaiting(1), now); !ok || found.Ready.After(now) {
+	if found, ok := f.Find("llm", serving.Unit{Model: "m1"}, waitingOnTime(1), now); !ok || found.Ready.After(now) {
 		t.Errorf("%+v, want the loaded model at once", found)
 	}
 	if operations := requestModel(t, f, "m4", now.Add(3*time.Second)); len(operations) != 1 { // the instance reports again
--- a/command/replicas/progress.go
+++ b/command/replicas/progress.go
@@ -6,7 +6,8 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// The methods below record the progress of an operation, as reported by the instance that carries it out.
+// The methods in this file record the progress of operations, as observed by the lease holder that carries them out, and
+// what instances report about engines.
 
 // failureBackoff is how long an engine is skipped after a failed operation; it doubles with each further failure, up to
 // maxFailureBackoff.
@@ -22,8 +23,8 @@
 	}
 }
 
-// Unanswered records that the answer to an order on the known sequence was lost. The order may still be carried out
-// until the engine accepts another one on that sequence.
+// Unanswered records that the response to an order that names the known sequence was lost. The engine may still carry
+// out the order until it accepts another one that names that sequence.
 func (f *Fleet) Unanswered(id string, now time.Time) {
 	if e := f.engines[id]; e != nil {
 		e.orderUnanswered, e.unansweredSequence, e.unansweredAt = true, e.Sequence, now
@@ -31,8 +32,8 @@
 }
 
 // Unloaded records that a unit of an operation was unloaded from its engine. An adapter is ignored: it was removed from
-// the record when the operation was planned, since the new one takes its slot, and it may have been planned again for
-// another request by now.
+// the record when the operation was planned, since the new adapter takes its slot, and by now it may have been planned
+// again for another request.
 func (f *Fleet) Unloaded(op Operation, unit serving.Unit) {
 	e := f.engines[op.Engine]
 	if e != nil && e.generation == op.generation && unit.Adapter == "" {
@@ -59,11 +60,11 @@
 }
 
 // Current reports whether the record on which an operation was planned is still valid. No order may be sent for an
-// operation that is not current. An adapter's operation ends with the copy of its model: a copy that is loaded later
-// has no slot reserved for the adapter.
+// operation that is not current. An adapter's operation is no longer current once the copy of its model is
+// unloaded: a copy that is loaded later has no slot reserved for the adapter.
 func (f *Fleet) Current(op Operation) bool {
 	e := f.engines[op.Engine]
-	if e == nil || e.Unsure || e.generation != op.generation {
+	if e == nil || e.MustBeRead || e.generation != op.generation {
 		return false
 	}
 	return op.copy == nil || e.Copies[op.Load.Model] == op.copy && op.copy.State != Unloading
@@ -92,24 +93,24 @@
 }
 
 // Failed records that an operation could not be carried out: the engine must be read again and is skipped for a while.
-// If the operation was void, its failure says nothing about the engine and is ignored.
+// The failure of an operation that is not current is ignored, since it does not show that the engine has failed.
 func (f *Fleet) Failed(op Operation, now time.Time) {
 	if f.Current(op) {
 		f.engines[op.Engine].fail(now)
 	}
 }
 
-// Withdrawn records that an operation ended because an order could not be sent, which says nothing about the engine.
-// The engine's state is still known, and copies whose unload was not ordered continue to serve. But the engine must be
-// read again if an order whose answer was lost may still be carried out.
+// Withdrawn records that an operation ended because an order could not be sent, which does not show that the engine has
+// failed. The engine's state is still known, and copies whose unload was not ordered continue to serve. But the engine
+// must be read again if it may still carry out an order whose response was lost.
 func (f *Fleet) Withdrawn(op Operation) {
 	e := f.engines[op.Engine]
 	if !f.Current(op) {
 		return
 	}
 	lost := e.orderUnanswered && e.unansweredSequence == e.Sequence
-	if lost || op.Load.Adapter != "" { // the record does not show whether an adapter's victim is still loaded
-		e.Unsure = true
+	if lost || op.Load.Adapter != "" { // the record does not show whether the evicted adapter is still loaded
+		e.MustBeRead = true
 		e.generation++
 		return
 	}
@@ -125,12 +126,14 @@
 	e.Busy = false
 }
 
-// Suspend stops or resumes planning. While no order can be sent, planned operations would only be withdrawn.
+// Suspend stops or resumes the planning of operations. While no order can be sent, planned operations would only be
+// withdrawn.
 func (f *Fleet) Suspend(suspended bool) { f.suspended = suspended }
 
+// fail marks the engine to be read again and to be skipped for a while.
 func (e *Engine) fail(now time.Time) {
 	e.generation++
-	e.Unsure = true
+	e.MustBeRead = true
 	e.FailingUntil = now.Add(min(maxFailureBackoff, failureBackoff<<min(e.failures, 8)))
 	e.failures++
 }
@@ -145,13 +148,13 @@
 	}
 }
 
-// holdBackDuration is how long an engine counts as held back after an instance reported it. Requests that find no other
-// copy report it again.
+// holdBackDuration is how long an engine counts as held back after an instance reported it. While that lasts, each
+// request that finds no other copy reports it again.
 const holdBackDuration = 500 * time.Millisecond
 
-// HoldBack records that an engine accepts no more requests than it has, or none for a while, and that a request found no
-// other copy of a unit that the engine has. Until that ends, the engine's copies do not count, so that the unit is
-// loaded on another engine, and nothing is loaded on this one.
+// HoldBack records that an engine accepts no additional requests, or no requests at all for a while, and that a request
+// found no other copy of a unit that the engine has. For holdBackDuration, the engine's copies do not count, so that the
+// unit is loaded on another engine, and nothing is loaded on this one.
 func (f *Fleet) HoldBack(id string, now time.Time) {
 	if e := f.engines[id]; e != nil {
 		e.heldBackUntil = later(e.heldBackUntil, now.Add(holdBackDuration))
@@ -159,7 +162,7 @@
 }
 
 // A load that is not done at its expected time is postponed by postponeInterval. An adapter load that is late by more
-// than maxAdapterLateness is in doubt.
+// than maxAdapterLateness is no longer postponed, see Postpone.
 const (
 	postponeInterval   = 100 * time.Millisecond
 	maxAdapterLateness = 2 * time.Second
@@ -170,8 +173,8 @@
 // its loads for a third of a second.
 const loadGrace = 500 * time.Millisecond
 
-// Postpone moves the expected ready time of a unit if its load is still in progress or was due a moment ago, and
-// reports whether it did.
+// Postpone moves the expected ready time of a unit if its load is still in progress or was expected to end only a
+// moment ago, and reports whether it did. If not, the load may have failed.
 func (f *Fleet) Postpone(id string, unit serving.Unit, now time.Time) bool {
 	e := f.engines[id]
 	if e == nil || e.Copies[unit.Model] == nil {
@@ -194,14 +197,14 @@
 	return true
 }
 
-// MarkUnsure marks an engine to be read again because it lacks a unit that it should have. Until then the unit gets no
-// requests, but its memory stays counted.
-func (f *Fleet) MarkUnsure(id string, unit serving.Unit) {
+// MarkForRead marks an engine to be read again because it lacks a unit that it should have. Until then the unit gets no
+// requests, but its memory still counts as used.
+func (f *Fleet) MarkForRead(id string, unit serving.Unit) {
 	e := f.engines[id]
 	if e == nil {
 		return
 	}
-	e.Unsure = true
+	e.MustBeRead = true
 	e.generation++
 	c := e.Copies[unit.Model]
 	if c == nil {
--- a/command/replicas/progress_test.go
+++ b/command/replicas/progress_test.go
@@ -7,13 +7,13 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// TestUnreachableUnsureEngineIsSkipped: an Unsure engine that cannot be reached does not count as serving the models that
-// it was known to hold. Otherwise, when the entry of a killed engine stays, requests for its models are sent to its
-// address for as long (30 s in soak run with seed 43).
-func TestUnreachableUnsureEngineIsSkipped(t *testing.T) {
+// TestUnreachableEngineToReadIsSkipped: an engine that must be read and cannot be reached does not count as serving the
+// models that it was known to hold. Otherwise, while the entry of a killed engine stays in the store, requests for its
+// models are sent to its address (for 30 s in the soak run with seed 43).
+func TestUnreachableEngineToReadIsSkipped(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := testFleet(now, testSpec("m1", "m2", "m3", "m4"), []string{"m1"}, []string{"m2"})
-	f.MarkUnsure("a-engine", serving.Unit{Model: "m1"})
+	f.MarkForRead("a-engine", serving.Unit{Model: "m1"})
 	f.Unreachable("a-engine", now)
 	if units := f.Engine("a-engine").Units(now); len(units) != 0 {
 		t.Errorf("units %v are offered to instances", units)
@@ -34,7 +34,7 @@
 	f.Done(*found.Start, now)
 	before := f.Engine("a-engine").memoryMB()
 	for _, unit := range []serving.Unit{{Model: "m1"}, adapter} {
-		f.MarkUnsure("a-engine", unit)
+		f.MarkForRead("a-engine", unit)
 		if found, ok := f.Find("llm", unit, Waiting{}, now); ok && found.Engine == "a-engine" {
 			t.Errorf("%s: found on the engine that lacks it", unit)
 		}
@@ -62,10 +62,10 @@
 func TestWithdrawnWithLostAnswer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
-		lost, passed, unsure bool
+		lost, passed, mustBeRead bool
 	}{
 		"nothing lost":          {},
-		"lost":                  {lost: true, unsure: true},
+		"lost":                  {lost: true, mustBeRead: true},
 		"lost, sequence passed": {lost: true, passed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -83,13 +83,13 @@
 				f.Ordered("a-engine")
 			}
 			f.Withdrawn(operations[0])
-			if e.Unsure != c.unsure {
-				t.Errorf("unsure: %v, want %v", e.Unsure, c.unsure)
+			if e.MustBeRead != c.mustBeRead {
+				t.Errorf("must be read: %v, want %v", e.MustBeRead, c.mustBeRead)
 			}
-			if c.unsure && e.memoryMB() != before {
+			if c.mustBeRead && e.memoryMB() != before {
 				t.Errorf("%v MB counted, %v while the order may be carried out", e.memoryMB(), before)
 			}
-			if !c.unsure && e.Copies["m4"] != nil {
+			if !c.mustBeRead && e.Copies["m4"] != nil {
 				t.Error("model is counted although its load was not sent")
 			}
 		})
--- a/command/replicas/remotelimiter_test.go
+++ b/command/replicas/remotelimiter_test.go
@@ -27,7 +27,7 @@
 	f.index = index{}
 	started := 0
 	for _, name := range names {
-		f.Find("llm", serving.Unit{Model: name}, oneWaiting(1), now)
+		f.Find("llm", serving.Unit{Model: name}, waitingOnTime(1), now)
 		started += len(f.Dispatch(now))
 	}
 	if started != f.store.limit() {
@@ -49,7 +49,7 @@
 	f.index = index{}
 	begin := func(at time.Time) (started int) {
 		for name := range spec.Models {
-			f.Find("llm", serving.Unit{Model: name}, oneWaiting(1), at)
+			f.Find("llm", serving.Unit{Model: name}, waitingOnTime(1), at)
 			for _, op := range f.Dispatch(at) {
 				f.LoadAccepted(op, time.Time{}, 0, at)
 				started++
@@ -81,7 +81,7 @@
 	f.index = index{}
 	load := f.Engines()[0].Spec.Models["m1"].RemoteLoad
 	loadsUntilReady := func(model string, weight float64) float64 {
-		found, ok := f.Find("llm", serving.Unit{Model: model}, oneWaiting(weight), now)
+		found, ok := f.Find("llm", serving.Unit{Model: model}, waitingOnTime(weight), now)
 		if !ok {
 			t.Fatalf("no expected time for %s", model)
 		}
@@ -158,7 +158,7 @@
 	s.startDue(now)
 	s.read(now)
 	for name := range s.spec.Models {
-		s.fleet.Find("llm", serving.Unit{Model: name}, oneWaiting(5), now)
+		s.fleet.Find("llm", serving.Unit{Model: name}, waitingOnTime(5), now)
 	}
 	for _, op := range s.fleet.Dispatch(now) {
 		s.pending[op.Engine] = pendingLoad{op: op, startsAt: now.Add(delay)}
@@ -187,11 +187,11 @@
 	}
 }
 
-// read lets the holder learn which loads are done and which models Unsure engines hold.
+// read lets the holder learn which loads are done and which models the engines that must be read hold.
 func (s *weightStoreFleet) read(now time.Time) {
 	for _, id := range s.engines {
 		_, planned := s.pending[id]
-		if e := s.fleet.Engine(id); !planned && !now.Before(s.busy[id]) && (e.Unsure || e.Busy) {
+		if e := s.fleet.Engine(id); !planned && !now.Before(s.busy[id]) && (e.MustBeRead || e.Busy) {
 			s.fleet.Adopt(id, serving.Report{Models: s.holds[id], Sequence: e.Sequence}, now)
 		}
 	}
--- a/command/replicas/restart_test.go
+++ b/command/replicas/restart_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestRestartedEngine: an engine that restarts under its ID gets a new record. Operations that were planned on the
-// previous process are void, and reports of that process are ignored. While an order to the previous process may still
-// be carried out by the new one, the engine is not read, and therefore gets no orders.
+// previous process are no longer current, and reports of that process are ignored. While an order to the previous
+// process may still be carried out by the new one, the engine is not read, and therefore gets no orders.
 func TestRestartedEngine(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, lost := range map[string]bool{"all orders answered": false, "an answer lost": true} {
@@ -29,11 +29,11 @@
 		s.Born, s.Revision, s.Models = 20, s.Revision+1, nil
 		f.SetServers([]serving.Server{s}, spec)
 		again := f.Engine("a-engine")
-		if f.Current(operations[0]) || len(again.Copies) != 0 || again.Sequence != 0 || !again.Unsure {
-			t.Errorf("%s: %+v, want an empty record and void operations", name, again)
+		if f.Current(operations[0]) || len(again.Copies) != 0 || again.Sequence != 0 || !again.MustBeRead {
+			t.Errorf("%s: %+v, want an empty record and no current operation", name, again)
 		}
 		f.Adopt("a-engine", serving.Report{Born: 10, Sequence: 7, Models: map[string][]string{"m1": nil}}, now)
-		if !again.Unsure || len(again.Copies) != 0 {
+		if !again.MustBeRead || len(again.Copies) != 0 {
 			t.Errorf("%s: a report of the previous process was adopted", name)
 		}
 		if got := f.Readable("a-engine", now.Add(lateOrderWindow-time.Millisecond)); got == lost {
@@ -43,7 +43,7 @@
 			t.Errorf("%s: not readable after late orders can no longer arrive", name)
 		}
 		f.Adopt("a-engine", serving.Report{Born: 20, Sequence: 1, Models: map[string][]string{"m3": nil}}, now.Add(lateOrderWindow))
-		if again.Unsure || again.Copies["m3"] == nil {
+		if again.MustBeRead || again.Copies["m3"] == nil {
 			t.Errorf("%s: its own report was not adopted", name)
 		}
 	}
--- a/command/replicas/view.go
+++ b/command/replicas/view.go
@@ -11,7 +11,7 @@
 // Units returns the units of the engine that requests may be sent to, now or once they are ready.
 func (e *Engine) Units(now time.Time) []directory.UnitView {
 	var units []directory.UnitView
-	if e.Unsure && now.Before(e.FailingUntil) {
+	if e.MustBeRead && now.Before(e.FailingUntil) {
 		return units // its units are not known, and requests would be refused
 	}
 	for model, c := range e.Copies {
@@ -61,8 +61,8 @@
 	return a != nil && !now.Before(a.Ready)
 }
 
-// Unsure returns the IDs of the engines that must be read again and may be read now.
-func (f *Fleet) Unsure(now time.Time) []string {
+// EnginesToRead returns the IDs of the engines that must be read again and may be read now.
+func (f *Fleet) EnginesToRead(now time.Time) []string {
 	var ids []string
 	for _, e := range f.Engines() {
 		if !e.Server.Draining && f.Readable(e.Server.ID, now) {
@@ -75,7 +75,7 @@
 // Readable reports whether an engine must be read again and may be read now.
 func (f *Fleet) Readable(id string, now time.Time) bool {
 	e := f.engines[id]
-	return e != nil && e.Unsure && !now.Before(e.readableAt)
+	return e != nil && e.MustBeRead && !now.Before(e.readableAt)
 }
 
 // UseStarted records that a request has started on a unit of an engine, which the instances' reports do not include
--- a/command/replicas/waiting.go
+++ b/command/replicas/waiting.go
@@ -19,8 +19,9 @@
 }
 
 // lateValueShare is the value of an answer after the objective, relative to one within it; the users give between 0.15
-// and 0.35. With equal values all requests are late whenever demand exceeds what can be loaded: the quiet day of the
-// users' platform scored .68 instead of .75 (4 runs), six days .007 +- .009 less (24 pairs).
+// and 0.35. With equal values all requests are late whenever demand exceeds what can be loaded: on the users'
+// platform, the score fell from .75 to .68 under little traffic (4 runs), and by .007 +- .009 on average over six
+// workloads (24 paired runs).
 const lateValueShare = 0.3
 
 // value returns the value of answering the requests.
--- a/command/replicas/weightstore.go
+++ b/command/replicas/weightstore.go
@@ -69,7 +69,7 @@
 
 // BusyWithInheritedOrder records that an engine which must be read again is carrying out an order of a previous holder.
 func (f *Fleet) BusyWithInheritedOrder(id string, now time.Time) {
-	if e := f.engines[id]; e != nil && e.Unsure && e.inheritedBusySince.IsZero() {
+	if e := f.engines[id]; e != nil && e.MustBeRead && e.inheritedBusySince.IsZero() {
 		e.inheritedBusySince = now
 	}
 }
@@ -79,7 +79,7 @@
 func (f *Fleet) inheritedLoads(now time.Time) int {
 	n := 0
 	for _, e := range f.engines {
-		if e.Unsure && !e.inheritedBusySince.IsZero() && now.Sub(e.inheritedBusySince) > maxLocalOrder {
+		if e.MustBeRead && !e.inheritedBusySince.IsZero() && now.Sub(e.inheritedBusySince) > maxLocalOrder {
 			n++
 		}
 	}
--- a/serving/fingerprint_test.go
+++ b/serving/fingerprint_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestFingerprint: attempts of one request have the same fingerprint whatever their ids; different requests have
-// different ones.
+// TestFingerprint: attempts of one request have the same fingerprint whatever their IDs; different requests have
+// different ones. The client's address counts only for requests without a body.
 func TestFingerprint(t *testing.T) {
 	request := func(change func(*Request)) *Request {
 		r := &Request{ID: "1", Method: "POST", Host: "h.example", Target: "/a/b?q=1", Body: []byte("body")}
--- a/serving/server.go
+++ b/serving/server.go
@@ -17,14 +17,15 @@
 	// Revision is the store revision of this announcement.
 	Revision      store.Revision
 	FailureDomain string
-	Slots         int
+	// Slots is the number of requests that the server runs concurrently; 0 if it is not announced.
+	Slots int
 	// Draining is set if the server should get no new requests.
 	Draining bool
 	// Remaining is how long a server that was reclaimed at short notice keeps running; 0 if that is not known.
 	Remaining time.Duration
 	// Models maps each resident model to its resident adapters.
 	Models map[string][]string
-	// Tiers states where the weights of other models are cached on the engine.
+	// Tiers states, for models that are not resident, from where the engine would load their weights.
 	Tiers map[string]Tier
 }
 
@@ -43,7 +44,8 @@
 	return s.Born == 0 || born == 0 || s.Born == born
 }
 
-// Tier is the place where weights are cached, as seen from one engine.
+// Tier is the place from which an engine would load the weights of a model: the weight store (TierRemote), the engine's
+// disk or its host memory.
 type Tier int
 
 // The tiers, from the slowest to the fastest to load from.
@@ -53,7 +55,8 @@
 	TierMemory
 )
 
-// LoadTime returns the duration of a load of the model from the tier.
+// LoadTime returns the duration of a load of the model from the tier. If none is configured for the tier, that of the next
+// slower tier counts.
 func (m Model) LoadTime(t Tier) time.Duration {
 	switch {
 	case t == TierMemory && m.MemoryLoad > 0:
