--- a/cmd/martensoak/main.go
+++ b/cmd/martensoak/main.go
@@ -66,22 +66,22 @@
 // runSeed runs one seed and prints its outcome, its faults and the violated guarantees. It reports
 // whether there were any.
 func (o *options) runSeed(ctx context.Context, seed uint64) (bool, error) {
-	result, err := soak.Run(ctx, soak.Params{Seed: seed, FaultDuration: o.For, Entries: o.Entries, Engines: o.Engines, Plain: o.Plain, Dir: o.Dir})
+	result, err := soak.Run(ctx, soak.Params{Seed: seed, FaultDuration: o.For, Entries: o.Entries, Engines: o.Engines, PlainServers: o.Plain, Dir: o.Dir})
 	if err != nil {
 		return false, errors.Wrapf(err, "seed %d", seed)
 	}
 	fmt.Printf("seed=%d faults=%d requests=%d answered=%d refused=%d failed=%d kept_clear=%d repeats=%d engines_ended=%d breaches=%d\n",
-		seed, len(result.Faults), result.Requests, result.Answered, result.Refused, result.Failed, result.UndisturbedReused, result.Repeats, result.EnginesCrashed, len(result.Breaches))
+		seed, len(result.Faults), result.Requests, result.Answered, result.Refused, result.Failed, result.UndisturbedReused, result.RepeatedSends, result.EnginesCrashed, len(result.Violations))
 	for _, f := range result.Faults {
 		fmt.Println("  fault", f)
 	}
 	for _, b := range result.Budget {
 		fmt.Println("  budget", b)
 	}
-	for _, b := range result.Breaches {
-		fmt.Printf("  BROKEN %s: %s\n", b.Promise, b.Detail)
+	for _, b := range result.Violations {
+		fmt.Printf("  BROKEN %s: %s\n", b.Guarantee, b.Detail)
 	}
-	return len(result.Breaches) > 0, nil
+	return len(result.Violations) > 0, nil
 }
 
 func (o *options) seeds() (first, last uint64, err error) {
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -75,10 +75,10 @@
 	entryUndisturbedSince time.Time
 }
 
-// backpressureBreaches checks what reaches servers after they have reported a limit, a rest or that they leave.
+// backpressureViolations checks what reaches servers after they have reported a limit, a rest or that they leave.
 // h.mu must be held.
-func (h *history) backpressureBreaches() []Breach {
-	var found []Breach
+func (h *history) backpressureViolations() []Violation {
+	var found []Violation
 	for name, state := range h.servers {
 		var list []stableArrival
 		for _, a := range state.Arrivals {
@@ -87,15 +87,15 @@
 			}
 		}
 		slices.SortFunc(list, func(a, b stableArrival) int { return a.At.Compare(b.At) })
-		found = append(found, limitBreaches(name, list)...)
-		found = append(found, leavingBreaches(name, list)...)
-		found = append(found, restBreaches(name, list)...)
+		found = append(found, limitViolations(name, list)...)
+		found = append(found, leavingViolations(name, list)...)
+		found = append(found, restViolations(name, list)...)
 	}
 	return found
 }
 
-// limitBreaches checks the total rate of all instances while the server reports a limit.
-func limitBreaches(server string, list []stableArrival) []Breach {
+// limitViolations checks the total rate of all instances while the server reports a limit.
+func limitViolations(server string, list []stableArrival) []Violation {
 	most, begin := 0, time.Time{}
 	var window []time.Time
 	for _, a := range list {
@@ -118,13 +118,13 @@
 	if most <= limitBound {
 		return nil
 	}
-	return []Breach{{"a server's limit is held to", fmt.Sprintf("%s got %d in %s", server, most, limitWindow)}}
+	return []Violation{{"a server's limit is held to", fmt.Sprintf("%s got %d in %s", server, most, limitWindow)}}
 }
 
-// leavingBreaches checks that an instance sends nothing to a server leavingBound after an answer of the server has
+// leavingViolations checks that an instance sends nothing to a server leavingBound after an answer of the server has
 // told the instance that it leaves.
-func leavingBreaches(server string, list []stableArrival) []Breach {
-	var found []Breach
+func leavingViolations(server string, list []stableArrival) []Violation {
+	var found []Violation
 	notified := map[int]time.Time{}
 	for _, a := range list {
 		if !a.Said.Leaving {
@@ -136,16 +136,16 @@
 			continue
 		}
 		if late := a.At.Sub(notifiedAt); late > leavingBound+arrivalSlack {
-			found = append(found, Breach{"a leaving server gets nothing new", fmt.Sprintf("%s of entry-%d reached %s %s after the instance was told", a.ID, a.entry, server, late)})
+			found = append(found, Violation{"a leaving server gets nothing new", fmt.Sprintf("%s of entry-%d reached %s %s after the instance was told", a.ID, a.entry, server, late)})
 		}
 	}
 	return found
 }
 
-// restBreaches checks that an instance sends at most maxDuringRest requests to a server during a rest that the
+// restViolations checks that an instance sends at most maxDuringRest requests to a server during a rest that the
 // server asked the instance for.
-func restBreaches(server string, list []stableArrival) []Breach {
-	var found []Breach
+func restViolations(server string, list []stableArrival) []Violation {
+	var found []Violation
 	for i, restSignal := range list {
 		if restSignal.Said.Rest == "" {
 			continue
@@ -158,7 +158,7 @@
 			}
 		}
 		if n > maxDuringRest {
-			found = append(found, Breach{"a server gets the rest that it asks for", fmt.Sprintf("%s got %d of entry-%d", server, n, restSignal.entry)})
+			found = append(found, Violation{"a server gets the rest that it asks for", fmt.Sprintf("%s got %d of entry-%d", server, n, restSignal.entry)})
 		}
 	}
 	return found
--- a/soak/budget.go
+++ b/soak/budget.go
@@ -73,15 +73,15 @@
 	repeats, allowed int
 }
 
-// budgetBreaches checks that repeated sends stay within the budget shared by all instances: in no budgetWindow are
+// budgetViolations checks that repeated sends stay within the budget shared by all instances: in no budgetWindow are
 // there more arrivals beyond the first of each request than the bound allows. The bound is computed from the
 // requests in that window, in the preceding one, or in the one that begins half a window earlier, whichever has
 // the most. h.mu must be held.
-func (h *history) budgetBreaches() []Breach {
-	var found []Breach
+func (h *history) budgetViolations() []Violation {
+	var found []Violation
 	for service, times := range h.sendTimesByService() {
 		if use := times.worstWindow(h.budgetExtra); use.repeats > use.allowed {
-			found = append(found, Breach{"repeated sends stay within the shared budget", fmt.Sprintf("%s: %s", service, use)})
+			found = append(found, Violation{"repeated sends stay within the shared budget", fmt.Sprintf("%s: %s", service, use)})
 		}
 	}
 	return found
--- a/soak/check.go
+++ b/soak/check.go
@@ -10,14 +10,14 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// history is what clients and servers observed, against which the promises are checked.
+// history is what clients and servers observed, against which the guarantees are checked.
 type history struct {
 	mu       *sync.Mutex
 	requests map[string]clientRequest
-	servers  map[string]standin.State // by server and number of the start
+	servers  map[string]standin.State // by server and number of its start
 	// budgetExtra is the number of repeated sends that the budget allows in addition to its ratio.
 	budgetExtra int
-	// acknowledged holds the time at which the store acknowledged each version of the configuration.
+	// acknowledged holds when the store acknowledged the write of each configuration version.
 	acknowledged map[int64]time.Time
 }
 
@@ -37,72 +37,72 @@
 	h.servers[server] = state
 }
 
-// breaches returns the promises that the history breaks.
-func (h *history) breaches() []Breach {
+// violations returns the guarantees that the history contradicts.
+func (h *history) violations() []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var found []Breach
+	var found []Violation
 	runs := map[string]int{}
 	for name, state := range h.servers {
 		for id, n := range state.Runs {
 			runs[id] += n
 		}
 		for _, v := range state.Violations {
-			found = append(found, Breach{"memory is never overcommitted", name + ": " + v})
+			found = append(found, Violation{"memory is never overcommitted", name + ": " + v})
 		}
-		found = append(found, orderBreaches(name, state.Orders)...)
+		found = append(found, orderViolations(name, state.Orders)...)
 		if state.Forgotten > 0 {
-			found = append(found, Breach{"the history is whole", fmt.Sprintf("%s has forgotten %d arrivals: make the run shorter", name, state.Forgotten)})
+			found = append(found, Violation{"the history is whole", fmt.Sprintf("%s has forgotten %d arrivals: make the run shorter", name, state.Forgotten)})
 		}
 	}
 	for id, n := range runs {
 		if _, known := h.requests[id]; !known {
-			found = append(found, Breach{"only what a client sent runs", id})
+			found = append(found, Violation{"only what a client sent runs", id})
 		}
 		if req := h.requests[id]; n > 1 && atMostOnce(req.route) {
-			found = append(found, Breach{"a non-idempotent request runs at most once", fmt.Sprintf("%s ran %d times", id, n)})
+			found = append(found, Violation{"a non-idempotent request runs at most once", fmt.Sprintf("%s ran %d times", id, n)})
 		}
 	}
 	for _, req := range h.requests {
-		found = append(found, req.breaches(runs[req.id])...)
-		found = append(found, req.lostAnswerBreaches(runs[req.id])...)
+		found = append(found, req.violations(runs[req.id])...)
+		found = append(found, req.lostAnswerViolations(runs[req.id])...)
 	}
-	found = append(found, h.keyBreaches()...)
-	found = append(found, h.backpressureBreaches()...)
-	return append(found, h.budgetBreaches()...)
+	found = append(found, h.keyViolations()...)
+	found = append(found, h.backpressureViolations()...)
+	return append(found, h.budgetViolations()...)
 }
 
-// breaches checks a request that servers ran the given number of times.
-func (req *clientRequest) breaches(runs int) []Breach {
-	var found []Breach
+// violations checks the client's view of a request against the number of times that servers ran it.
+func (req *clientRequest) violations(runs int) []Violation {
+	var found []Violation
 	switch {
 	case req.refused() && runs > 0:
-		found = append(found, Breach{"a refusal that says not run is true", fmt.Sprintf("%s (%s) ran %d times", req.id, req.route, runs)})
+		found = append(found, Violation{"a refusal that says not run is true", fmt.Sprintf("%s (%s) ran %d times", req.id, req.route, runs)})
 	case req.status == http.StatusOK && req.complete && req.body != req.expectedBody():
-		found = append(found, Breach{"each client gets the whole answer to its own request", fmt.Sprintf("%s (%s) got %q", req.id, req.route, req.body)})
+		found = append(found, Violation{"each client gets the whole answer to its own request", fmt.Sprintf("%s (%s) got %q", req.id, req.route, req.body)})
 	case req.status == http.StatusOK && !strings.HasPrefix(req.expectedBody(), req.body):
-		found = append(found, Breach{"a part of an answer is a part of the client's own", fmt.Sprintf("%s (%s) got %q", req.id, req.route, req.body)})
+		found = append(found, Violation{"a part of an answer is a part of the client's own", fmt.Sprintf("%s (%s) got %q", req.id, req.route, req.body)})
 	}
 	if req.entryRunning && req.duration > routeTimeout+answerSlack {
-		found = append(found, Breach{"each request is answered or refused in its time", fmt.Sprintf("%s (%s) took %s", req.id, req.route, req.duration)})
+		found = append(found, Violation{"each request is answered or refused in its time", fmt.Sprintf("%s (%s) took %s", req.id, req.route, req.duration)})
 	}
 	return found
 }
 
-// orderBreaches checks the orders that one start of an engine accepted: fencing tokens never decrease, and orders
-// of different holders are at least leaseMS apart.
-func orderBreaches(engine string, orders []standin.ReceivedOrder) []Breach {
-	var found []Breach
+// orderViolations checks the orders that one start of an engine accepted: fencing tokens never decrease, and orders
+// of different holders are at least holderGapMS apart.
+func orderViolations(engine string, orders []standin.ReceivedOrder) []Violation {
+	var found []Violation
 	var last standin.ReceivedOrder
 	for _, o := range orders {
 		if !o.Accepted {
 			continue
 		}
 		if o.Fence < last.Fence {
-			found = append(found, Breach{"one holder orders at a time", fmt.Sprintf("%s: token %d of %s after %d of %s", engine, o.Fence, o.Holder, last.Fence, last.Holder)})
+			found = append(found, Violation{"one holder orders at a time", fmt.Sprintf("%s: token %d of %s after %d of %s", engine, o.Fence, o.Holder, last.Fence, last.Holder)})
 		}
-		if last.Holder != "" && o.Holder != last.Holder && o.At.Sub(last.At) < leaseMS*time.Millisecond {
-			found = append(found, Breach{"one holder orders at a time", fmt.Sprintf("%s: %s only %s after %s", engine, o.Holder, o.At.Sub(last.At), last.Holder)})
+		if last.Holder != "" && o.Holder != last.Holder && o.At.Sub(last.At) < holderGapMS*time.Millisecond {
+			found = append(found, Violation{"one holder orders at a time", fmt.Sprintf("%s: %s only %s after %s", engine, o.Holder, o.At.Sub(last.At), last.Holder)})
 		}
 		last = o
 	}
--- a/soak/config.go
+++ b/soak/config.go
@@ -11,7 +11,7 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// The services: two plain services and that of the engines.
+// The services: two plain services, whose servers load no models, and that of the engines.
 const (
 	plainService  = "plain"
 	sideService   = "side"
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -12,19 +12,21 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// fault is a fault with the functions that begin and end it.
+// fault is a fault: its description for the report of the run, and the functions that begin and end it.
 type fault struct {
 	name       string
 	begin, end func()
 }
 
-// Time between the starts of faults, and how long faults last. Faults may overlap.
+// The time between the starts of two faults and the duration of a fault are drawn uniformly from a minimum and a spread
+// above it. Faults may overlap.
 const (
 	minGapMS, gapSpreadMS       = 300, 1200 // ms
 	minLengthMS, lengthSpreadMS = 500, 4000 // ms
 )
 
-// injectFaults injects faults drawn from the seed, which may overlap, and returns their descriptions.
+// injectFaults injects the scheduled faults and, in between, faults drawn from the seed. It returns their descriptions
+// once all of them have ended.
 func (r *run) injectFaults(ctx context.Context) []string {
 	var injected []string
 	var pending sync.WaitGroup
@@ -54,26 +56,26 @@
 
 func noop() {}
 
-// scheduledFault is a fault at a fixed time after the beginning.
+// scheduledFault is a fault at a fixed time after the beginning of the injection.
 type scheduledFault struct {
 	at time.Duration
 	fault
 }
 
 // scheduledFaults returns the faults of every run: reused connections under a changing idle timeout, a poison
-// request, a server that sends backpressure or says that it leaves, a failing service while all instances are
+// request, a server that sends backpressure or announces that it is leaving, a failing service while all instances are
 // killed repeatedly, and a restore of the store from a backup.
 func (r *run) scheduledFaults(ctx context.Context) []scheduledFault {
 	return []scheduledFault{{0, r.varyIdleTimeout(ctx)}, {r.params.FaultDuration / 10, r.poisonFault(ctx)}, {r.params.FaultDuration / 5, r.backpressureFault(ctx, r.random.IntN(len(r.servers)))}, {r.params.FaultDuration * 2 / 5, r.killAll(ctx, plainService)}, {r.params.FaultDuration * 4 / 5, r.restoreFault(ctx)}}
 }
 
-// proxyModes are the modes that faults draw from. blockFromTarget is listed twice, since lost answers break most
-// promises.
+// proxyModes are the modes that faults draw from. blockFromTarget is listed twice, since lost answers put most
+// guarantees at risk.
 var proxyModes = []mode{delayChunks, blockBoth, blockToTarget, blockFromTarget, blockFromTarget, resetConns}
 
 // storeFaultsFrom returns the time from which the store itself may fail. An instance that is killed while the
-// store fails serves no requests until the store is back, so it does not repeat any either: in half of the runs
-// the store does not fail during most of the scheduled faults.
+// store fails serves no requests until the store is back, so it does not repeat any either. In half of the runs
+// the store therefore fails only in the last fifth, so that instances repeat requests during most scheduled faults.
 func (r *run) storeFaultsFrom() time.Duration {
 	if r.random.IntN(2) == 0 {
 		return 0
@@ -148,6 +150,7 @@
 	}
 }
 
+// setStoreFault sets a fault of the store, as NAME=VALUE, and records it. A store that cannot be reached ignores it.
 func (r *run) setStoreFault(query string) {
 	r.storeFaults.record(query, time.Now())
 	resp, err := http.Post("http://"+r.storeAddress+"/fault?"+query, "", nil)
--- a/soak/keepalive.go
+++ b/soak/keepalive.go
@@ -142,16 +142,16 @@
 // having seen the request. It is far longer than a packet takes on loopback, even on a loaded machine.
 const closeRaceTime = 2 * time.Second
 
-// lostAnswerBreaches checks that a request sent on a reused connection is answered or refused, provided that no
+// lostAnswerViolations checks that a request sent on a reused connection is answered or refused, provided that no
 // fault affected its instance, the servers of its service and the connections to them.
 //
-// It is a breach if a server ran the request, or if the connection ended without an answer so late that the
+// It is a violation if a server ran the request, or if the connection ended without an answer so late that the
 // instance must have read the request. These are permitted:
 //
 //   - the instance closes the connection while the request is in transit, and no server receives it;
 //   - an answer that had begun is cut off when the route's timeout expires;
 //   - the connection was closed before, so that nothing could be sent.
-func (req *clientRequest) lostAnswerBreaches(runs int) []Breach {
+func (req *clientRequest) lostAnswerViolations(runs int) []Violation {
 	if !req.reusedConn || !req.undisturbed || req.sentAt.IsZero() || req.answered() {
 		return nil
 	}
@@ -163,5 +163,5 @@
 	if req.status == http.StatusOK {
 		detail += ", cut off"
 	}
-	return []Breach{{"a request on a kept connection is answered or refused", detail}}
+	return []Violation{{"a request on a kept connection is answered or refused", detail}}
 }
--- a/soak/keys.go
+++ b/soak/keys.go
@@ -101,10 +101,10 @@
 	return first, !first.IsZero()
 }
 
-// keyBreaches checks that servers are told the right workspace and no key, that no key works for longer than
+// keyViolations checks that servers are told the right workspace and no key, that no key works for longer than
 // revokeBound after its revocation, and that the limited workspace stays within its limit. h.mu must be held.
-func (h *history) keyBreaches() []Breach {
-	var found []Breach
+func (h *history) keyViolations() []Violation {
+	var found []Violation
 	firstRuns := map[string]time.Time{} // when each request of the limited workspace first ran
 	for name, state := range h.servers {
 		for _, a := range state.Arrivals {
@@ -113,13 +113,13 @@
 				continue // an unknown request is reported elsewhere; those of the last checks are not recorded
 			}
 			if a.KeyTold {
-				found = append(found, Breach{"no server is told a key", fmt.Sprintf("%s at %s", a.ID, name)})
+				found = append(found, Violation{"no server is told a key", fmt.Sprintf("%s at %s", a.ID, name)})
 			}
 			if want := workspaceOf(req.key); a.Workspace != want || want == "" {
-				found = append(found, Breach{"a request runs as the workspace of its key", fmt.Sprintf("%s with %s reached %s as %q", a.ID, req.key, name, a.Workspace)})
+				found = append(found, Violation{"a request runs as the workspace of its key", fmt.Sprintf("%s with %s reached %s as %q", a.ID, req.key, name, a.Workspace)})
 			}
 			if at, revoked := h.revokedAt(req.key); revoked && state.Runs[a.ID] > 0 && req.sentAt.Sub(at) > revokeBound {
-				found = append(found, Breach{"a key works no longer than the bound", fmt.Sprintf("%s sent %s after %s was taken away ran at %s", a.ID, req.sentAt.Sub(at), req.key, name)})
+				found = append(found, Violation{"a key works no longer than the bound", fmt.Sprintf("%s sent %s after %s was taken away ran at %s", a.ID, req.sentAt.Sub(at), req.key, name)})
 			}
 			if first, recorded := firstRuns[a.ID]; workspaceOf(req.key) == limitedWorkspace && state.Runs[a.ID] > 0 && (!recorded || a.At.Before(first)) {
 				firstRuns[a.ID] = a.At
@@ -127,7 +127,7 @@
 		}
 	}
 	if n, from := h.maxInWindow(firstRuns); n > quotaBound {
-		found = append(found, Breach{"a workspace stays within its limit", fmt.Sprintf("%d requests ran in the %s from %s, %.0f are allowed", n, quotaWindow, from.Format("15:04:05.000"), quotaBound)})
+		found = append(found, Violation{"a workspace stays within its limit", fmt.Sprintf("%d requests ran in the %s from %s, %.0f are allowed", n, quotaWindow, from.Format("15:04:05.000"), quotaBound)})
 	}
 	return found
 }
--- a/soak/keys_test.go
+++ b/soak/keys_test.go
@@ -8,9 +8,9 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// TestKeyAndLimitChecksFindBreaches: a check of keys or limits that misses a breach, or reports one in a correct
-// history, would make soak results meaningless. Each breach must be found, and found alone.
-func TestKeyAndLimitChecksFindBreaches(t *testing.T) {
+// TestKeyAndLimitChecksFindViolations: a check of keys or limits that misses a violation, or reports one in a correct
+// history, would make soak results meaningless. Each violation must be found, and found alone.
+func TestKeyAndLimitChecksFindViolations(t *testing.T) {
 	began := time.Unix(100, 0)
 	history := func(late time.Duration, requests int, workspace string, keyPassed bool) map[string]int {
 		s := newHistory(2)
@@ -28,22 +28,22 @@
 		}
 		s.servers["s start 1"] = state
 		got := map[string]int{}
-		for _, b := range s.breaches() {
-			got[b.Promise]++
+		for _, b := range s.violations() {
+			got[b.Guarantee]++
 		}
 		return got
 	}
 	if got := history(revokeBound, int(quotaBound), steadyWorkspace, false); len(got) > 0 {
-		t.Errorf("correct history: got breaches %v, want none", got)
+		t.Errorf("correct history: got violations %v, want none", got)
 	}
-	for promise, got := range map[string]map[string]int{
+	for guarantee, got := range map[string]map[string]int{
 		"a key works no longer than the bound":       history(revokeBound+time.Millisecond, 1, steadyWorkspace, false),
 		"a workspace stays within its limit":         history(0, int(quotaBound)+1, steadyWorkspace, false),
 		"a request runs as the workspace of its key": history(0, 1, limitedWorkspace, false),
 		"no server is told a key":                    history(0, 1, steadyWorkspace, true),
 	} {
-		if len(got) != 1 || got[promise] == 0 {
-			t.Errorf("want only a breach of %q, got %v", promise, got)
+		if len(got) != 1 || got[guarantee] == 0 {
+			t.Errorf("want only a violation of %q, got %v", guarantee, got)
 		}
 	}
 }
--- a/soak/poison.go
+++ b/soak/poison.go
@@ -18,44 +18,46 @@
 	"github.com/martenport/martenport/platform"
 )
 
-// Poison requests crash each engine that begins to run them. Clients repeat them while other faults go on.
+// A poison request crashes each engine that begins to run it. Clients repeat it while other faults are in progress. The
+// entry instances must quarantine it, so that it crashes only a few engines.
 
 // poison is the prefix of the bodies of poison requests.
 const poison = "poison"
 
 // Times and bounds of poison requests.
 const (
-	// Clients repeat a poison request for poisonDuration, each of them every poisonInterval.
+	// Each of poisonClients clients repeats a poison request every poisonInterval for poisonDuration.
 	poisonDuration = 14 * time.Second
 	poisonInterval = 250 * time.Millisecond
 	poisonClients  = 4
 	// engineDowntime is how long a crashed engine stays down, and staleEntryTime how long its entry stays in the
-	// store.
+	// store after the crash.
 	engineDowntime, staleEntryTime = 1500 * time.Millisecond, 1200 * time.Millisecond
-	// maxEngineEnds is the maximum number of engines that may crash under one poison request while other faults go
-	// on.
-	maxEngineEnds = 8
-	// From quarantineDelay after the third crash (endsToQuarantine) on, at most maxLateSends sends may reach
-	// engines.
-	endsToQuarantine = 3
-	quarantineDelay  = 3 * time.Second
-	maxLateSends     = 3
+	// maxCrashes is the maximum number of engine crashes due to one poison request while other faults are in
+	// progress.
+	maxCrashes = 8
+	// Later than quarantineDelay after its third crash (crashesToQuarantine), at most maxLateSends sends of a poison
+	// request may reach engines.
+	crashesToQuarantine = 3
+	quarantineDelay     = 3 * time.Second
+	maxLateSends        = 3
 )
 
 // poisonLog records the poison requests of a run and the engines that they crashed.
 type poisonLog struct {
 	mu      sync.Mutex
 	created int                    // number of poison requests; guarded by mu
-	ends    map[string][]time.Time // times at which engines crashed, by body; guarded by mu
-	// entryStable says which requests were sent to a stable instance; guarded by mu.
+	crashes map[string][]time.Time // times at which engines crashed, by body; guarded by mu
+	// entryStable says, by request ID, whether the request was sent to a stable instance (see entryStable of run) that
+	// was running; guarded by mu.
 	entryStable map[string]bool
 }
 
 func newPoisonLog() *poisonLog {
-	return &poisonLog{ends: map[string][]time.Time{}, entryStable: map[string]bool{}}
+	return &poisonLog{crashes: map[string][]time.Time{}, entryStable: map[string]bool{}}
 }
 
-// poisonFault makes clients repeat a new poison request at random instances.
+// poisonFault returns a fault in which clients repeat a new poison request at random instances.
 func (r *run) poisonFault(ctx context.Context) fault {
 	r.poisons.mu.Lock()
 	r.poisons.created++
@@ -75,6 +77,7 @@
 	})}
 }
 
+// repeatPoison is one client that repeats a poison request, and records its sends in the history.
 func (r *run) repeatPoison(ctx context.Context, body string, client int, random *rand.Rand) {
 	deadline := time.Now().Add(poisonDuration)
 	for n := 0; time.Now().Before(deadline) && pause.For(ctx, poisonInterval); n++ {
@@ -90,7 +93,7 @@
 	}
 }
 
-// stateFile returns the file in which an engine that a request crashes saves its state.
+// stateFile returns the file in which an engine saves its state when a request crashes it.
 func (r *run) stateFile(engine, start int) string {
 	return filepath.Join(r.logs, fmt.Sprintf("server-%d-start-%d.state", engine, start))
 }
@@ -102,7 +105,7 @@
 		p.mu.Lock()
 		exited, starts := p.cmd == nil && !p.terminating, p.starts
 		p.mu.Unlock()
-		if !exited || !r.recordEngineEnd(i, starts) {
+		if !exited || !r.recordCrash(i, starts) {
 			continue
 		}
 		proxy.setRefusing(true)
@@ -117,46 +120,46 @@
 	}
 }
 
-// recordEngineEnd adds the state of an engine that a request crashed to the history, and reports whether there is
+// recordCrash adds the state of an engine that a request crashed to the history, and reports whether there is
 // such a state.
-func (r *run) recordEngineEnd(engine, starts int) bool {
-	text, err := os.ReadFile(r.stateFile(engine, starts-1))
+func (r *run) recordCrash(engine, starts int) bool {
+	data, err := os.ReadFile(r.stateFile(engine, starts-1))
 	if err != nil {
 		return false
 	}
 	var state standin.State
-	if json.Unmarshal(text, &state) != nil {
+	if json.Unmarshal(data, &state) != nil {
 		return false
 	}
 	r.history.addServerState(fmt.Sprintf("%s start %d", r.servers[engine].name, starts), state)
 	r.poisons.mu.Lock()
 	defer r.poisons.mu.Unlock()
-	r.poisons.ends[state.EndedBy] = append(r.poisons.ends[state.EndedBy], time.Now())
+	r.poisons.crashes[state.EndedBy] = append(r.poisons.crashes[state.EndedBy], time.Now())
 	return true
 }
 
-// poisonBreaches checks how many engines each poison request crashed, and that no other request was quarantined.
-func (r *run) poisonBreaches() []Breach {
+// poisonViolations checks how many engines each poison request crashed, and that no other request was quarantined.
+func (r *run) poisonViolations() []Violation {
 	r.poisons.mu.Lock()
 	defer r.poisons.mu.Unlock()
 	r.history.mu.Lock()
 	defer r.history.mu.Unlock()
-	var found []Breach
-	for body, ends := range r.poisons.ends {
-		if len(ends) > maxEngineEnds {
-			found = append(found, Breach{"a request ends few engines", fmt.Sprintf("%d ended under %s", len(ends), body)})
+	var found []Violation
+	for body, crashes := range r.poisons.crashes {
+		if len(crashes) > maxCrashes {
+			found = append(found, Violation{"a request ends few engines", fmt.Sprintf("%d ended under %s", len(crashes), body)})
 		}
-		if len(ends) < endsToQuarantine {
+		if len(crashes) < crashesToQuarantine {
 			continue
 		}
-		slices.SortFunc(ends, time.Time.Compare)
-		if late := r.lateSends(body, ends[endsToQuarantine-1].Add(quarantineDelay)); late > maxLateSends {
-			found = append(found, Breach{"a request that ended engines is held", fmt.Sprintf("%d sends of %s more than %s after the third end", late, body, quarantineDelay)})
+		slices.SortFunc(crashes, time.Time.Compare)
+		if late := r.lateSends(body, crashes[crashesToQuarantine-1].Add(quarantineDelay)); late > maxLateSends {
+			found = append(found, Violation{"a request that ended engines is held", fmt.Sprintf("%d sends of %s more than %s after the third end", late, body, quarantineDelay)})
 		}
 	}
 	for _, req := range r.history.requests {
 		if req.status == http.StatusBadRequest && !strings.HasPrefix(req.payload, poison) {
-			found = append(found, Breach{"a request that harms nobody is not held", req.id + " was refused for good"})
+			found = append(found, Violation{"a request that harms nobody is not held", req.id + " was refused for good"})
 		}
 	}
 	return found
@@ -176,13 +179,13 @@
 	return n
 }
 
-// count returns the number of engines that requests crashed.
+// count returns the number of crashes of engines due to poison requests.
 func (p *poisonLog) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, ends := range p.ends {
-		n += len(ends)
+	for _, crashes := range p.crashes {
+		n += len(crashes)
 	}
 	return n
 }
--- a/soak/recovery.go
+++ b/soak/recovery.go
@@ -11,12 +11,12 @@
 const recoveryConcurrency = 8
 
 // checkRecovery checks that each instance serves requests again, with the newest configuration.
-func (r *run) checkRecovery(ctx context.Context) []Breach {
+func (r *run) checkRecovery(ctx context.Context) []Violation {
 	if err := r.await(ctx, "configuration", func() bool { return r.writeConfig(ctx) == nil }); err != nil {
-		return []Breach{{"the store is back", err.Error()}}
+		return []Violation{{"the store is back", err.Error()}}
 	}
 	version := r.version()
-	found := make([][]Breach, len(r.entries))
+	found := make([][]Violation, len(r.entries))
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, recoveryConcurrency)
 	for i := range r.entries {
@@ -27,7 +27,7 @@
 		})
 	}
 	wg.Wait()
-	var all []Breach
+	var all []Violation
 	for _, perEntry := range found {
 		all = append(all, perEntry...)
 	}
@@ -35,8 +35,8 @@
 }
 
 // checkEntry checks that an instance serves each route and model, and no removed route.
-func (r *run) checkEntry(ctx context.Context, entry int, version int64) []Breach {
-	var found []Breach
+func (r *run) checkEntry(ctx context.Context, entry int, version int64) []Violation {
+	var found []Violation
 	for n, target := range append([]string{versionRoute(version), "unsafe", "keep"}, models...) {
 		req := clientRequest{route: target}
 		if n >= 3 {
@@ -50,12 +50,12 @@
 			return req.status == http.StatusOK && req.complete
 		})
 		if err != nil {
-			found = append(found, Breach{"everything is served again after the faults", fmt.Sprintf("entry-%d: %s: status %d", entry, target, req.status)})
+			found = append(found, Violation{"everything is served again after the faults", fmt.Sprintf("entry-%d: %s: status %d", entry, target, req.status)})
 		}
 	}
 	old := clientRequest{id: fmt.Sprintf("back-%d-old", entry), route: versionRoute(version - 1)}
 	if old.send(r.entryAddress(entry)); old.status != http.StatusNotFound {
-		found = append(found, Breach{"an accepted configuration does not revert", fmt.Sprintf("entry-%d serves a dropped route: status %d", entry, old.status)})
+		found = append(found, Violation{"an accepted configuration does not revert", fmt.Sprintf("entry-%d serves a dropped route: status %d", entry, old.status)})
 	}
 	return found
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,7 +1,7 @@
 // Package soak runs the real programs as separate processes on loopback and injects faults from outside: signals
 // to processes, TCP proxies that delay, reset or block traffic in one or both directions, servers that fail their
 // requests, and configuration changes. Some clients open a connection per request, others reuse one. What clients
-// and backend servers observe is checked against the promises of the system; logs are kept, but not checked.
+// and backend servers observe is checked against the guarantees of the system; logs are kept, but not checked.
 package soak
 
 import (
@@ -29,50 +29,51 @@
 	Seed uint64
 	// FaultDuration is how long faults are injected.
 	FaultDuration time.Duration
-	// Entries, Engines and Plain are the numbers of entry instances, of engines, and of servers of the two plain
-	// services together.
-	Entries, Engines, Plain int
+	// Entries, Engines and PlainServers are the numbers of entry instances, of engines, and of servers of the two
+	// services that have no engines, together.
+	Entries, Engines, PlainServers int
 	// Dir is the directory of the built programs and the logs.
 	Dir string
 }
 
-// Breach is a promise that was broken.
-type Breach struct{ Promise, Detail string }
+// Violation is an observation that contradicts a guarantee of the system.
+type Violation struct{ Guarantee, Detail string }
 
 // Result is the outcome of a run.
 type Result struct {
 	Requests, Answered, Refused, Failed int
 	Faults                              []string
 	// UndisturbedReused counts the requests sent on reused connections while nothing on their path was disturbed.
-	// Repeats counts the arrivals at servers beyond the first of each request.
-	UndisturbedReused, Repeats int
-	// EnginesCrashed counts the engines that crashed under a poison request.
+	// RepeatedSends counts how often a request reached a server again after the first time.
+	UndisturbedReused, RepeatedSends int
+	// EnginesCrashed counts the crashes of engines due to a poison request, which crashes each engine that runs it.
 	EnginesCrashed int
-	// Budget says, for each service, how close the repeated sends came to the bound.
-	Budget   []string
-	Breaches []Breach
+	// Budget says, for each service, how close the repeated sends came to the bound of the retry budget.
+	Budget     []string
+	Violations []Violation
 }
 
 // Times of a run.
 const (
-	// settleTime is the time between the end of the faults and the last checks. It is longer than a takeover of
+	// settleTime is the time between the end of the faults and the final checks. It is longer than a takeover of
 	// the lease.
 	settleTime = 12 * time.Second
-	// leaseMS is the minimum time between orders of two holders.
-	leaseMS = 1000
+	// holderGapMS is the setting leaseMs: the minimum time between the orders of two successive lease holders.
+	holderGapMS = 1000
 	// gracePeriod is the time from SIGTERM to SIGKILL.
 	gracePeriod = 8 * time.Second
-	// requestWork is how long a plain request takes, and the pause between events of a stream: long enough that
-	// many requests are in progress when a fault occurs.
+	// requestWork is how long a server takes for a request that is not streamed, and for each event of a stream: long
+	// enough that many requests are in progress when a fault occurs.
 	requestWork = 40 * time.Millisecond
-	// recoveryTimeout bounds the wait for start-up, and for each target of the last checks to be served.
+	// recoveryTimeout bounds each wait for the start of processes, and in the final checks the wait until an instance
+	// serves a route or model again.
 	recoveryTimeout = 30 * time.Second
 )
 
 // subnets is the number of address ranges available to runs.
 const subnets = 250
 
-// maxProcesses is the number of entry instances, and of servers, that the addresses of a run suffice for.
+// maxProcesses is the number of entry instances, and of servers, that fit in a run's address range.
 const maxProcesses = 250
 
 // models are the models that engines can load. An engine has room for two.
@@ -94,30 +95,34 @@
 	serverAddresses []string // one per server
 	history         history
 
+	// disturbances counts the faults of servers and of the connections to them.
 	disturbances *disturbanceTracker
-	poisons      *poisonLog
+	// poisons records the poison requests and the engines that they crashed.
+	poisons *poisonLog
 	// storeFaults records the faults of the store.
 	storeFaults storeFaultTracker
-	waker       *clientWaker
-	config      configState
+	// waker makes clients that wait between requests send at about the same time.
+	waker *clientWaker
+	// config is the state of the generated configurations.
+	config configState
 }
 
-// Run starts the processes, injects faults and checks the promises. An error means that the soak itself failed;
-// broken promises are in the result.
+// Run starts the processes, injects faults and checks the guarantees. An error means that the soak itself failed;
+// violations are in the result.
 func Run(ctx context.Context, p Params) (Result, error) {
 	r := &run{
 		params: p, random: rand.New(rand.NewPCG(p.Seed, 1)), logs: filepath.Join(p.Dir, fmt.Sprintf("seed-%d", p.Seed)),
 		history:      newHistory(p.Entries),
 		disturbances: newDisturbanceTracker(), poisons: newPoisonLog(), storeFaults: storeFaultTracker{active: map[string]bool{}}, waker: newClientWaker(), config: configState{random: rand.New(rand.NewPCG(p.Seed, 2))},
 	}
-	if p.Entries > maxProcesses || p.Engines+p.Plain > maxProcesses {
-		return Result{}, errors.Newf("soak: %d entry instances and %d servers requested, at most %d of each are supported", p.Entries, p.Engines+p.Plain, maxProcesses)
+	if p.Entries > maxProcesses || p.Engines+p.PlainServers > maxProcesses {
+		return Result{}, errors.Newf("soak: %d entry instances and %d servers requested, at most %d of each are supported", p.Entries, p.Engines+p.PlainServers, maxProcesses)
 	}
-	subnetLock, err := r.claimSubnet(subnets)
+	subnetClaim, err := r.claimSubnet(subnets)
 	if err != nil {
 		return Result{}, err
 	}
-	defer subnetLock.Close()
+	defer subnetClaim.Close()
 	if err := os.MkdirAll(r.logs, 0o700); err != nil {
 		return Result{}, errors.Wrap(err, "soak: create log directory")
 	}
@@ -140,16 +145,16 @@
 	result := waitClients()
 	result.Faults = faults
 	r.collectAllStates()
-	result.Budget, result.Repeats = r.history.budgetSummary()
-	result.Breaches = append(result.Breaches, r.history.breaches()...)
+	result.Budget, result.RepeatedSends = r.history.budgetSummary()
+	result.Violations = append(result.Violations, r.history.violations()...)
 	result.EnginesCrashed = r.poisons.count()
-	result.Breaches = append(result.Breaches, r.poisonBreaches()...)
-	result.Breaches = append(result.Breaches, r.checkRecovery(ctx)...)
+	result.Violations = append(result.Violations, r.poisonViolations()...)
+	result.Violations = append(result.Violations, r.checkRecovery(ctx)...)
 	return result, nil
 }
 
-// claimSubnet reserves an address range that no other run uses: that of the seed, or else the next free one, for
-// at most so many tries. The range is reserved until the returned listener is closed.
+// claimSubnet reserves an address range that no other run uses. It tries the range that the seed selects and then those
+// after it, as many as tries in all. The range is reserved until the returned listener is closed.
 func (r *run) claimSubnet(tries int) (net.Listener, error) {
 	for n := range tries {
 		r.subnet = int((r.params.Seed + uint64(n)) % subnets)
@@ -174,7 +179,7 @@
 	if !r.store.running() {
 		return errors.Newf("soak: another process answers at the store's address %s", r.storeAddress)
 	}
-	for i := range r.params.Engines + r.params.Plain {
+	for i := range r.params.Engines + r.params.PlainServers {
 		if err := r.startServer(i); err != nil {
 			return err
 		}
@@ -187,10 +192,12 @@
 	return r.await(ctx, "entry instances", r.allReady)
 }
 
+// newProcess returns a process of a built program, which is not started yet. args is called at each start.
 func (r *run) newProcess(name, program string, args func() []string) *process {
 	return &process{name: name, path: filepath.Join(r.params.Dir, program), args: args, logs: r.logs}
 }
 
+// startServer starts server i and the proxy through which entry instances reach it.
 func (r *run) startServer(i int) error {
 	address := fmt.Sprintf("127.3.%d.%d:9000", r.subnet, 1+i)
 	serverProxy, err := newProxy(address)
@@ -221,8 +228,8 @@
 // serverID returns the ID of one start of a server. Each start has its own.
 func (r *run) serverID(server, start int) string { return fmt.Sprintf("server-%d-%d", server, start) }
 
-// serverService returns the service of a server: engines come first, the others alternate between the plain
-// services.
+// serverService returns the service of a server: engines come first, the others alternate between the two
+// services that have no engines.
 func (r *run) serverService(server int) string {
 	switch {
 	case server < r.params.Engines:
@@ -234,13 +241,14 @@
 	}
 }
 
+// startEntry writes the settings of entry instance i and starts it and its proxy to the store.
 func (r *run) startEntry(i int) error {
 	storeProxy, err := newProxy(r.storeAddress)
 	if err != nil {
 		return errors.Wrap(err, "soak: start proxy")
 	}
 	ip := r.entryIP(i)
-	text := fmt.Sprintf(`nodeName = "entry-%d"
+	settings := fmt.Sprintf(`nodeName = "entry-%d"
 ip = "%s"
 zone = "z%d"
 internalPorts = [7380, 7390]
@@ -248,10 +256,10 @@
 limits = { cpuShare = 1.0, cores = 1 }
 bounds = { drainMs = 2000, graceS = %v, leaseMs = %d, budgetRatio = %v, budgetWindowS = %v, budgetExtra = %d, revokeFailClosed = true, revokeMs = %d, quotaWindowS = %v, quotaOverage = %v, quotaSlack = %v }
 platform = { address = "%s" }
-`, i, ip, i%3, ip, ip, gracePeriod.Seconds(), leaseMS, budgetRatio, budgetWindow.Seconds(), budgetExtra(r.params.Entries), revokeBound.Milliseconds(), quotaWindow.Seconds(), quotaOverage, quotaSlack, storeProxy.address())
+`, i, ip, i%3, ip, ip, gracePeriod.Seconds(), holderGapMS, budgetRatio, budgetWindow.Seconds(), budgetExtra(r.params.Entries), revokeBound.Milliseconds(), quotaWindow.Seconds(), quotaOverage, quotaSlack, storeProxy.address())
 	path := filepath.Join(r.logs, fmt.Sprintf("entry-%d.toml", i))
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		return errors.Wrap(err, "soak: write settings")
+	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
+		return errors.Wrap(err, "soak: write settings of an entry instance")
 	}
 	p := r.newProcess(fmt.Sprintf("entry-%d", i), "martenentryd", func() []string { return []string{"--settings", path} })
 	r.entries, r.storeProxies = append(r.entries, p), append(r.storeProxies, storeProxy)
@@ -262,6 +270,7 @@
 
 func (r *run) entryAddress(i int) string { return r.entryIP(i) + ":8100" }
 
+// await waits until the condition holds, at most recoveryTimeout. what names the awaited thing in the error.
 func (r *run) await(ctx context.Context, what string, condition func() bool) error {
 	for deadline := time.Now().Add(recoveryTimeout); time.Now().Before(deadline); {
 		if condition() {
@@ -274,6 +283,7 @@
 	return errors.Newf("soak: %s did not come up in %s", what, recoveryTimeout)
 }
 
+// allReady reports whether all entry instances report that they are ready.
 func (r *run) allReady() bool {
 	for i := range r.entries {
 		resp, err := http.Get(strings.Replace("http://"+r.entryAddress(i)+standin.PathReady, ":8100", ":8101", 1))
@@ -302,6 +312,7 @@
 	}
 }
 
+// collectAllStates adds the states of all servers that answer to the history.
 func (r *run) collectAllStates() {
 	for i := range r.servers {
 		r.collectState(i)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// TestShortRun: the real programs keep their promises and recover under the faults of one seed. Among these are a
+// TestShortRun: the real programs keep their guarantees and recover under the faults of one seed. Among these are a
 // changing idle timeout while connections are reused, and repeated kills of all instances while a service fails.
 func TestShortRun(t *testing.T) {
 	root, err := filepath.Abs("..")
@@ -20,18 +20,18 @@
 		t.Fatal(err)
 	}
 	t.Chdir(root) // the programs are built from the repository's root
-	result, err := Run(t.Context(), Params{Seed: 6, FaultDuration: 12 * time.Second, Entries: 2, Engines: 3, Plain: 4, Dir: t.TempDir()})
+	result, err := Run(t.Context(), Params{Seed: 6, FaultDuration: 12 * time.Second, Entries: 2, Engines: 3, PlainServers: 4, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if result.Answered == 0 || len(result.Faults) == 0 {
 		t.Errorf("%d requests answered and %d faults injected, want at least one of each", result.Answered, len(result.Faults))
 	}
-	if result.UndisturbedReused == 0 || result.Repeats == 0 {
-		t.Errorf("%d undisturbed requests on reused connections and %d repeated sends, want at least one of each", result.UndisturbedReused, result.Repeats)
+	if result.UndisturbedReused == 0 || result.RepeatedSends == 0 {
+		t.Errorf("%d undisturbed requests on reused connections and %d repeated sends, want at least one of each", result.UndisturbedReused, result.RepeatedSends)
 	}
-	for _, b := range result.Breaches {
-		t.Errorf("%s: %s", b.Promise, b.Detail)
+	for _, b := range result.Violations {
+		t.Errorf("%s: %s", b.Guarantee, b.Detail)
 	}
 	if t.Failed() {
 		t.Log(result.Faults, result.Budget)
@@ -51,19 +51,19 @@
 	if _, err := second.claimSubnet(1); err == nil || !strings.Contains(err.Error(), "other runs use") {
 		t.Errorf("claimSubnet of a range in use: got error %v, want one that says so", err)
 	}
-	subnetLock, err := second.claimSubnet(subnets)
+	subnetClaim, err := second.claimSubnet(subnets)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer subnetLock.Close()
-	if second.subnet == taken || subnetLock.Addr().String() == other.Addr().String() {
+	defer subnetClaim.Close()
+	if second.subnet == taken || subnetClaim.Addr().String() == other.Addr().String() {
 		t.Errorf("the second run got the address range 127.1.%d.x of the first", second.subnet)
 	}
 }
 
-// TestChecksFindBreaches: a check that misses a breach would let faults pass unnoticed. Each promise must be
-// reported as broken for a history that breaks it.
-func TestChecksFindBreaches(t *testing.T) {
+// TestChecksFindViolations: a check that misses a violation would let faults pass unnoticed. Each guarantee must be
+// reported as violated for a history that contradicts it.
+func TestChecksFindViolations(t *testing.T) {
 	s := newHistory(2)
 	s.addRequest(clientRequest{id: "twice", route: "unsafe", status: 502})
 	s.addRequest(clientRequest{id: "refused", route: "safe", status: 503})
@@ -85,12 +85,12 @@
 		"the history is whole": 1,
 	}
 	got := map[string]int{}
-	for _, b := range s.breaches() {
-		got[b.Promise]++
+	for _, b := range s.violations() {
+		got[b.Guarantee]++
 	}
-	for promise, n := range want {
-		if got[promise] != n {
-			t.Errorf("%s: got %d breaches, want %d", promise, got[promise], n)
+	for guarantee, n := range want {
+		if got[guarantee] != n {
+			t.Errorf("%s: got %d violations, want %d", guarantee, got[guarantee], n)
 		}
 	}
 }
@@ -107,9 +107,9 @@
 	return list
 }
 
-// TestPermittedConnectionEndsAreNoBreach: a reused connection may end without an answer in these cases, so
-// reporting a breach would make the soak fail for no reason.
-func TestPermittedConnectionEndsAreNoBreach(t *testing.T) {
+// TestPermittedConnectionEndsAreNoViolation: a reused connection may end without an answer in these cases, so
+// reporting a violation would make the soak fail for no reason.
+func TestPermittedConnectionEndsAreNoViolation(t *testing.T) {
 	base := clientRequest{route: "keep", reusedConn: true, undisturbed: true, sentAt: time.Unix(1, 0)}
 	for name, change := range map[string]func(*clientRequest) (runs int){
 		"a close crossed the request":         func(t *clientRequest) int { t.duration = time.Millisecond; return 0 },
@@ -121,8 +121,8 @@
 		"its time was over amid the answer":   func(t *clientRequest) int { t.status, t.duration = 200, shortestTimeout; return 1 },
 	} {
 		req := base
-		if found := req.lostAnswerBreaches(change(&req)); len(found) != 0 {
-			t.Errorf("%s: got breaches %v, want none", name, found)
+		if found := req.lostAnswerViolations(change(&req)); len(found) != 0 {
+			t.Errorf("%s: got violations %v, want none", name, found)
 		}
 	}
 }
@@ -148,8 +148,8 @@
 			s.addRequest(clientRequest{id: strconv.Itoa(i), route: "keep", sentAt: c.sent, status: 200, complete: true, body: "POST /keep/x body"})
 		}
 		s.servers["f start 1"] = standin.State{Service: sideService, Runs: map[string]int{"1": 1}, Arrivals: repeatedArrivals("1", c.repeats+1)}
-		if found := s.breaches(); (len(found) > 0) != c.broken {
-			t.Errorf("%s: got breaches %v, want any: %v", name, found, c.broken)
+		if found := s.violations(); (len(found) > 0) != c.broken {
+			t.Errorf("%s: got violations %v, want any: %v", name, found, c.broken)
 		}
 	}
 }
