--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -11,8 +11,9 @@
 
 const captionModel = `{name: caption, version: "1", memory: 14GiB, maxReplicas: 1, deadline: 60s}`
 
-// TestOrdererKilledDuringLoad: the orderer of an engine is killed during a load. Another instance must take over
-// and adopt the load, rather than start it again, and the request must be answered.
+// TestOrdererKilledDuringLoad: the orderer of an engine is killed during a load. Another instance must take over and
+// wait for the load that is in progress rather than order another one, and the request must be answered. The cases are
+// engines that reject orders with an old fencing token and engines that ignore the tokens.
 func TestOrdererKilledDuringLoad(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		t.Run(map[bool]string{true: "fencing", false: "ignoring"}[fencing], func(t *testing.T) {
@@ -21,24 +22,24 @@
 			f.startInstance("i-b2", "b")
 			f.startInstance("i-c2", "c")
 			f.applyDeclaration(f.instances["i-a"], f.declaration(fencing, captionModel))
-			f.awaitOrdered("i-a", "i-b", "i-c", "i-a2", "i-b2", "i-c2")
+			f.awaitOrderersKnown("i-a", "i-b", "i-c", "i-a2", "i-b2", "i-c2")
 
-			victim := make(chan string, 1)
-			go func() { victim <- f.awaitLoadingOrderer() }()
+			loadingOrderer := make(chan string, 1)
+			go func() { loadingOrderer <- f.awaitOrdererOfLoadingEngine() }()
 			var wg sync.WaitGroup
 			for _, name := range []string{"i-a", "i-b", "i-c"} {
 				wg.Go(func() {
 					_, _ = f.instances[name].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: name, MaxTokens: 2, Idempotent: true})
 				})
 			}
-			killed := <-victim
+			killed := <-loadingOrderer
 			f.instances[killed].signal(syscall.SIGKILL)
 			survivor := "i-a"
 			if killed == survivor {
 				survivor = "i-b"
 			}
 			if _, err := f.instances[survivor].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: "after", MaxTokens: 2, Idempotent: true}); err != nil {
-				t.Errorf("request after the kill of %s: %v", killed, err)
+				t.Errorf("request after %s was killed: %v", killed, err)
 			}
 			if n := f.loadCount(); n != 1 {
 				t.Errorf("%d loads, want 1", n)
@@ -48,8 +49,8 @@
 	}
 }
 
-// awaitLoadingOrderer waits until an engine is loading and returns its orderer.
-func (f *fleet) awaitLoadingOrderer() string {
+// awaitOrdererOfLoadingEngine waits until an engine is loading and returns its orderer.
+func (f *fleet) awaitOrdererOfLoadingEngine() string {
 	found := ""
 	await(f.t, "an engine loads", func() bool {
 		for _, i := range f.instances {
@@ -71,7 +72,7 @@
 	f := newFleet(t, true, "100e9")
 	f.startInstance("i-a2", "a")
 	f.applyDeclaration(f.instances["i-a"], f.declaration(true, captionModel))
-	f.awaitOrdered("i-a", "i-b", "i-c", "i-a2")
+	f.awaitOrderersKnown("i-a", "i-b", "i-c", "i-a2")
 	leaving := f.instances["i-a"]
 	done := make(chan error, 1)
 	go func() {
@@ -101,6 +102,7 @@
 	})
 }
 
+// requestsBegun returns the number of attempts of requests that have begun on the engines.
 func (f *fleet) requestsBegun() int {
 	n := 0
 	for _, d := range domains {
@@ -109,24 +111,25 @@
 	return n
 }
 
-// TestPlatformStopped: while the platform is frozen, resident models are served and a model whose slot is held is
-// loaded again. A model without a slot cannot be loaded, and must be refused with NotRun.
-func TestPlatformStopped(t *testing.T) {
+// TestPlatformFrozen: a placement slot, kept in the platform, permits one engine to hold a replica of a model. While the
+// platform is frozen, resident models are served, and a model for which an engine still has a slot is loaded again after
+// it was unloaded. A model for which no engine has a slot cannot be loaded, and must be refused with NotRun.
+func TestPlatformFrozen(t *testing.T) {
 	f := newFleet(t, true, "100e9")
 	f.tailWeight = 0 // idle models are unloaded immediately
 	f.applyDeclaration(f.instances["i-a"], f.declaration(true, captionModel,
 		`{name: album, version: "1", memory: 14GiB, maxReplicas: 1, deadline: 60s}`))
-	f.awaitOrdered("i-a", "i-b", "i-c")
-	warm := func() error {
+	f.awaitOrderersKnown("i-a", "i-b", "i-c")
+	requestCaption := func() error {
 		_, err := f.instances["i-b"].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: "x", MaxTokens: 1, Idempotent: true})
 		return err
 	}
-	if err := warm(); err != nil {
+	if err := requestCaption(); err != nil {
 		t.Fatal(err)
 	}
 	f.platformProcess.signal(syscall.SIGSTOP)
-	if err := warm(); err != nil {
-		t.Errorf("request for a resident model while the platform is stopped: %v", err)
+	if err := requestCaption(); err != nil {
+		t.Errorf("request for a resident model while the platform is frozen: %v", err)
 	}
 	await(t, "the idle model is unloaded", func() bool {
 		for _, e := range f.instances["i-b"].status().GetEngines() {
@@ -136,22 +139,23 @@
 		}
 		return true
 	})
-	if err := warm(); err != nil {
-		t.Errorf("request for a model with a held slot while the platform is stopped: %v", err)
+	if err := requestCaption(); err != nil {
+		t.Errorf("request for a model for which an engine has a slot while the platform is frozen: %v", err)
 	}
 	_, err := f.instances["i-b"].generate(30*time.Second, &martenportv1.GenerateRequest{Model: "album", Prompt: "x", MaxTokens: 1})
 	if f := failureIn(err); f == nil || f.Verdict != martenportv1.Verdict_VERDICT_NOT_RUN {
-		t.Errorf("request for a model without a held slot: got %v, want NotRun", err)
+		t.Errorf("request for a model for which no engine has a slot while the platform is frozen: got %v, want NotRun", err)
 	}
 	f.platformProcess.signal(syscall.SIGCONT)
-	await(t, "the other model is served again", func() bool {
+	await(t, "the other model is served", func() bool {
 		_, err := f.instances["i-b"].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "album", Prompt: "x", MaxTokens: 1})
 		return err == nil
 	})
 }
 
-// TestOrdererFrozenAcrossTakeover: the orderer of a loading engine is frozen until another instance has taken
-// over. When it resumes, it must learn that it is superseded, and nothing may be loaded twice.
+// TestOrdererFrozenAcrossTakeover: the orderer of a loading engine is frozen until another instance has taken over. When
+// it resumes, it must learn that another instance is the orderer now, and nothing may be loaded twice. The cases are
+// engines that reject orders with an old fencing token and engines that ignore the tokens.
 func TestOrdererFrozenAcrossTakeover(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		t.Run(map[bool]string{true: "fencing", false: "ignoring"}[fencing], func(t *testing.T) {
@@ -160,16 +164,16 @@
 				f.startInstance("i-"+d+"2", d)
 			}
 			f.applyDeclaration(f.instances["i-a"], f.declaration(fencing, captionModel))
-			f.awaitOrdered("i-a", "i-b", "i-c", "i-a2", "i-b2", "i-c2")
+			f.awaitOrderersKnown("i-a", "i-b", "i-c", "i-a2", "i-b2", "i-c2")
 			go func() {
 				_, _ = f.instances["i-a"].generate(waitTimeout, &martenportv1.GenerateRequest{Model: "caption", Prompt: "first", MaxTokens: 2, Idempotent: true})
 			}()
-			frozen := f.instances[f.awaitLoadingOrderer()]
+			frozen := f.instances[f.awaitOrdererOfLoadingEngine()]
 			frozen.signal(syscall.SIGSTOP)
-			witness := f.otherThan(frozen)
+			observer := f.otherThan(frozen)
 			engine := ""
 			await(t, "another instance has taken over", func() bool {
-				for _, e := range witness.status().GetEngines() {
+				for _, e := range observer.status().GetEngines() {
 					if len(e.Loading)+len(e.Resident) > 0 && e.Orderer != frozen.name {
 						engine = e.Name
 						return true
@@ -196,6 +200,7 @@
 	}
 }
 
+// otherThan returns any instance but the excluded one.
 func (f *fleet) otherThan(excluded *instance) *instance {
 	for _, i := range f.instances {
 		if i != excluded {
@@ -205,10 +210,10 @@
 	return nil
 }
 
-// TestKeyAtSeveralInstances: the load balancer sends one notice to three instances at once. It must run once, and
-// all must get its answer. After the instances are replaced, a repeat must not run, and must be answered with
-// MayHaveRun.
-func TestKeyAtSeveralInstances(t *testing.T) {
+// TestIdempotencyKeyAtSeveralInstances: three instances get the same call with the same idempotency key at once. The
+// call must run once, and all three must return its answer. After all instances are replaced, a repeat must not run, and
+// must be answered with MayHaveRun (the verdict that the call may have run).
+func TestIdempotencyKeyAtSeveralInstances(t *testing.T) {
 	f := newFleet(t, true, "100e9")
 	f.applyDeclaration(f.instances["i-a"], f.declaration(true, captionModel))
 	await(t, "all have the declaration", func() bool {
@@ -238,7 +243,7 @@
 		}
 	}
 	if n := f.serviceRuns("notice 17"); n != 1 {
-		t.Errorf("the notice ran %d times, want 1", n)
+		t.Errorf("the call ran %d times, want 1", n)
 	}
 	for _, i := range f.instances {
 		i.signal(syscall.SIGKILL)
@@ -251,6 +256,6 @@
 		t.Errorf("repeat after all instances were replaced: got %v, want MayHaveRun", err)
 	}
 	if n := f.serviceRuns("notice 17"); n != 1 {
-		t.Errorf("the notice ran %d times, want 1", n)
+		t.Errorf("the call ran %d times, want 1", n)
 	}
 }
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -1,5 +1,8 @@
-// Package e2e runs martenport as separate processes over loopback sockets, and kills and freezes them. Tests wait
-// for events, with a timeout far above the usual duration, so that a slow machine does not change the result.
+// Package e2e runs martenport as separate processes over loopback sockets, and kills and freezes them (SIGSTOP). Tests
+// wait for events, with a timeout far above the usual duration, so that a slow machine does not change the result.
+//
+// Each engine has an orderer: the only instance that may send it load and unload orders. The orderers are recorded in
+// the platform, the store that the instances share. If an orderer is lost, another instance takes over its engines.
 package e2e
 
 import (
@@ -92,6 +95,7 @@
 	}
 }
 
+// signal sends a signal to the process.
 func (p *process) signal(s syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
@@ -99,8 +103,8 @@
 	}
 }
 
-// fleet consists of the platform, a plain service, and one engine and one instance per failure domain, each in a
-// process of its own. Tests may add instances.
+// fleet consists of the platform, a server of a service without models, and one engine and one instance per failure
+// domain, each in a process of its own. Tests may add instances.
 type fleet struct {
 	t               *testing.T
 	platformAddress string
@@ -109,18 +113,21 @@
 	engineProcesses map[string]*process
 	serviceAddress  string
 	instances       map[string]*instance
-	// tailWeight is the tailWeight of the declaration.
+	// tailWeight is the setting tailWeight of the declaration; 0 has idle models unloaded immediately.
 	tailWeight float64
 }
 
+// instance is an entry instance and the addresses on which it listens.
 type instance struct {
 	*process
 	name, clientAddress, operatorAddress, peerAddress string
 }
 
+// domains are the failure domains. Each has an engine e-DOMAIN and an instance i-DOMAIN.
 var domains = []string{"a", "b", "c"}
 
-// newFleet starts a fleet whose engines load at speed bytes per second.
+// newFleet starts a fleet whose engines load at speed bytes per second. With fencing they reject orders with an old
+// fencing token, otherwise they ignore the tokens.
 func newFleet(t *testing.T, fencing bool, speed string) *fleet {
 	t.Helper()
 	f := &fleet{t: t, engineAddresses: map[string]string{}, engineProcesses: map[string]*process{}, instances: map[string]*instance{}, tailWeight: 0.5}
@@ -142,13 +149,13 @@
 	return f
 }
 
+// addressIn returns the address in a line of log output.
 func addressIn(line string) string {
 	_, rest, _ := strings.Cut(line, "address=")
 	return strings.Fields(rest)[0]
 }
 
-// freeAddress returns a loopback address on which nothing listens, and which nothing but the test's processes
-// uses.
+// freeAddress returns a loopback address on which nothing listens and that only the test's processes use.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", net.JoinHostPort(standin.UniqueLoopbackIP(), "0"))
@@ -159,6 +166,7 @@
 	return l.Addr().String()
 }
 
+// startInstance starts an instance in a failure domain and adds it to the fleet.
 func (f *fleet) startInstance(name, domain string) *instance {
 	f.t.Helper()
 	i := &instance{name: name, clientAddress: freeAddress(f.t), operatorAddress: freeAddress(f.t), peerAddress: freeAddress(f.t)}
@@ -202,6 +210,7 @@
 	f.martenctl(i, "confirm", "-f", file, "--plan", plan.PlanID, "--base", plan.BaseGeneration)
 }
 
+// martenctl runs martenctl against the instance's operator address and returns its output.
 func (f *fleet) martenctl(i *instance, args ...string) []byte {
 	f.t.Helper()
 	args = append([]string{"--server", "http://" + i.operatorAddress}, args...)
@@ -234,8 +243,8 @@
 	}
 }
 
-// awaitOrdered waits until each of the named instances knows an orderer for every engine.
-func (f *fleet) awaitOrdered(names ...string) {
+// awaitOrderersKnown waits until each of the named instances knows an orderer for every engine.
+func (f *fleet) awaitOrderersKnown(names ...string) {
 	f.t.Helper()
 	for _, name := range names {
 		await(f.t, "orderers of all engines known at "+name, func() bool {
@@ -251,6 +260,7 @@
 	}
 }
 
+// generate sends an inference request to the instance. The request's deadline is timeout from now.
 func (i *instance) generate(timeout time.Duration, req *martenportv1.GenerateRequest) (*martenportv1.GenerateResponse, error) {
 	client := martenportv1connect.NewInferenceServiceClient(http.DefaultClient, "http://"+i.clientAddress)
 	req.TimeoutMs = timeout.Milliseconds()
@@ -261,7 +271,7 @@
 	return answer.Msg, nil
 }
 
-// tally returns the counts of a stand-in engine.
+// tally returns the counters of the stand-in engine in a failure domain.
 func (f *fleet) tally(domain string) standin.Tally {
 	f.t.Helper()
 	var out standin.Tally
@@ -276,6 +286,7 @@
 	return out
 }
 
+// loadCount returns the number of loads of all engines together.
 func (f *fleet) loadCount() int {
 	n := 0
 	for _, d := range domains {
@@ -284,7 +295,7 @@
 	return n
 }
 
-// call sends a call to the stand-in plain service through the instance.
+// call calls a method of the stand-in service through the instance. key is the idempotency key.
 func (i *instance) call(method, body, key string) (string, error) {
 	client := martenportv1connect.NewInferenceServiceClient(http.DefaultClient, "http://"+i.clientAddress)
 	answer, err := client.Call(context.Background(), connect.NewRequest(&martenportv1.CallRequest{
@@ -296,7 +307,7 @@
 	return string(answer.Msg.Body), nil
 }
 
-// serviceRuns returns how often the stand-in plain service ran the given body.
+// serviceRuns returns how often the stand-in service ran a call with the given body.
 func (f *fleet) serviceRuns(body string) int {
 	f.t.Helper()
 	resp, err := http.Get("http://" + f.serviceAddress + "/runs")
