--- a/command/backpressure/querylimiter.go
+++ b/command/backpressure/querylimiter.go
@@ -7,9 +7,10 @@
 	"github.com/martenport/martenport/command/quota"
 )
 
-// QueryLimiter bounds the rate at which instances query the holder for single sends. If all servers of a
-// busy service are rate-limited, every request would query the holder, and a holder without processor
-// time for its other work is lost to all instances. It is safe for concurrent use.
+// QueryLimiter bounds the rate at which an instance asks the holder to admit single requests to
+// rate-limited servers. If all servers of a busy service are at their limits, each request would cause a
+// query, and a holder that has no processor time left for its other work is unavailable to all
+// instances. It is safe for concurrent use.
 type QueryLimiter struct {
 	mu      sync.Mutex
 	bucket  quota.Bucket // guarded by mu
@@ -18,9 +19,11 @@
 
 const (
 	// totalQueryRate is the number of queries per second from all instances together. Each takes about
-	// 30 us of processor time at the holder, which has 0.8 of a core in large deployments.
+	// 30 us of processor time at the holder, so all together take 0.06 of a core; the holder has 0.8
+	// of a core in large deployments.
 	totalQueryRate = 2000
-	// queryBurstDuration is the time for which an instance may save up queries.
+	// queryBurstDuration sets the burst: an instance may save up the queries of this time, and at
+	// least minQueryBurst.
 	queryBurstDuration = 500 * time.Millisecond
 	// minQueryBurst is the minimum number of queries that an instance may save up.
 	minQueryBurst = 4
--- a/command/balance/balance.go
+++ b/command/balance/balance.go
@@ -99,12 +99,12 @@
 
 	mu      sync.Mutex
 	servers map[string]*serverStats // by ID; guarded by mu
-	domains map[string]*domainStats // failure domains by name; guarded by mu
+	domains map[string]*domainState // failure domains by name; guarded by mu
 }
 
 // New returns a Balancer without statistics.
 func New(p Params) *Balancer {
-	return &Balancer{params: p, servers: map[string]*serverStats{}, domains: map[string]*domainStats{}}
+	return &Balancer{params: p, servers: map[string]*serverStats{}, domains: map[string]*domainState{}}
 }
 
 // Pick returns the index of the candidate to send to, or -1 if there are none. Servers in a domain
--- a/command/balance/domain.go
+++ b/command/balance/domain.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// domainStats is the state of a failure domain, derived from the latest requests to its servers. If
+// domainState is the state of a failure domain, derived from the latest requests to its servers. If
 // a domain is isolated from the others, every request between them is lost, and an instance would
-// have to find that out for each server separately: within an isolated domain, four of five
-// requests were sent to other domains although its own servers had the models of most of them (99
-// of the 157 lost requests of a domain that was isolated for six seconds).
-type domainStats struct {
-	// unanswered is the number of consecutive requests without any answer.
+// have to find that out for each server separately. Within an isolated domain, four of five requests
+// were sent to servers of other domains. The domain's own servers had the models of most of them: of
+// 99 of the 157 requests that were lost in a domain that was isolated for six seconds.
+type domainState struct {
+	// unanswered is the number of consecutive requests with the outcome Unreachable or Silent.
+	// Neutral outcomes are not counted and do not end the series.
 	unanswered int
 	// suspectUntil is when the domain stops being suspect.
 	suspectUntil time.Time
 }
 
-// Rules for suspecting a domain.
+// When a domain is suspected to be unreachable, and for how long.
 const (
 	// suspectAfter is the number of consecutive unanswered requests after which a domain is
 	// suspected to be unreachable. A single unresponsive server does not reach this number while
 	// other servers of the domain answer.
 	suspectAfter = 3
-	// baseSuspectTime is how long the domain is avoided at first. Each further lost request doubles
-	// the time, up to maxSuspectTime, since most network partitions last for seconds. A single
-	// answer ends it, and requests that no other domain can serve are still sent.
+	// baseSuspectTime is how long the domain is avoided at first. Each further unanswered request
+	// doubles the time, up to maxSuspectTime, since most network partitions last for seconds. A
+	// single answer ends the suspicion, and requests that no other domain can serve are still sent.
 	baseSuspectTime = 2 * time.Second
 	maxSuspectTime  = 8 * time.Second
 )
@@ -41,11 +42,11 @@
 	}
 	d := b.domains[name]
 	if d == nil {
-		d = &domainStats{}
+		d = &domainState{}
 		b.domains[name] = d
 	}
 	if o == Succeeded || o == Failed {
-		*d = domainStats{}
+		*d = domainState{}
 		return
 	}
 	d.unanswered++
--- a/command/dispatch/call_test.go
+++ b/command/dispatch/call_test.go
@@ -11,12 +11,12 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// scriptedService fails calls with the scripted verdicts in order (0 answers the
-// call), and answers all calls after them.
+// scriptedService fails calls with the scripted verdicts in order (verdict 0: the
+// call is answered), and answers all calls after them.
 type scriptedService struct {
-	script []verdict.Verdict
-	calls  []string // addresses called
-	mayRun int      // calls that ran or may have run
+	script     []verdict.Verdict
+	calls      []string // addresses called
+	mayHaveRun int      // calls that ran or may have run
 }
 
 func (s *scriptedService) dial(address string) backend.Service { return serviceAt{s, address} }
@@ -34,7 +34,7 @@
 		v, s.script = s.script[0], s.script[1:]
 	}
 	if v != verdict.NotRun {
-		s.mayRun++
+		s.mayHaveRun++
 	}
 	if v != 0 {
 		return nil, verdict.New(v, verdict.ReasonBackend, "scripted")
@@ -71,20 +71,20 @@
 	return NewCaller(d, s.dial)
 }
 
-// TestCalls guards against duplicate execution of non-idempotent calls. For any
+// TestNonIdempotentCallRunsAtMostOnce guards against duplicate execution of non-idempotent calls. For any
 // sequence of server failures, such a call has at most one attempt that may have
-// run, NotRun is reported only if nothing may have run, servers in the own failure
-// domain come first, and a leaving server receives no call.
-func TestCalls(t *testing.T) {
+// run, NotRun is reported only if nothing may have run, the server in the own failure
+// domain is called first, and a leaving server receives no call.
+func TestNonIdempotentCallRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &scriptedService{script: rapid.SliceOfN(rapid.SampledFrom([]verdict.Verdict{0, verdict.NotRun, verdict.MayHaveRun, verdict.Ran}), 0, 4).Draw(t, "script")}
 		method := rapid.SampledFrom([]string{"confirm", "lookup"}).Draw(t, "method")
 		_, err := newCaller(t, s).Call(context.Background(), ServiceRequest{ID: "r", Service: "notices", Method: method})
-		if method == "confirm" && s.mayRun > 1 {
-			t.Fatalf("%d attempts of a non-idempotent call may have run, want at most 1", s.mayRun)
+		if method == "confirm" && s.mayHaveRun > 1 {
+			t.Fatalf("%d attempts of a non-idempotent call may have run, want at most 1", s.mayHaveRun)
 		}
-		if err != nil && verdict.Of(err).Verdict == verdict.NotRun && s.mayRun > 0 {
-			t.Fatalf("verdict NotRun (%v), but %d attempts may have run", err, s.mayRun)
+		if err != nil && verdict.Of(err).Verdict == verdict.NotRun && s.mayHaveRun > 0 {
+			t.Fatalf("verdict NotRun (%v), but %d attempts may have run", err, s.mayHaveRun)
 		}
 		for i, address := range s.calls {
 			if address == "leaving:1" || (i == 0 && address != "near:1") {
--- a/command/quota/lender.go
+++ b/command/quota/lender.go
@@ -90,7 +90,7 @@
 }
 
 // outstanding returns a share that covers whatever the instance may currently have.
-func (l *loan) outstanding() Share { return l.reported.larger(l.assigned) }
+func (l *loan) outstanding() Share { return l.reported.covering(l.assigned) }
 
 // NewLender returns the Lender of an instance that has just become the holder. first is set if there
 // was no holder before, so that nothing is lent. handedOver is, by workspace, what the previous holder
@@ -253,7 +253,7 @@
 	if withinThreshold(target, lo.reported) {
 		target = lo.reported
 	}
-	lo.assigned = target.within(l.lendable(a).minus(others))
+	lo.assigned = target.cappedBy(l.lendable(a).minus(others))
 	l.setOutstanding(a, others.plus(lo.outstanding()), now)
 	loan := Loan{Workspace: use.Workspace, Share: lo.assigned, Keep: lo.assigned.Saved * keepFraction}
 	// Fill up the instance's level from the reserve, using at most half of it.
--- a/command/quota/quota.go
+++ b/command/quota/quota.go
@@ -2,9 +2,10 @@
 // the current time is passed in, and nothing is sent.
 //
 // The lease holder lends each instance a share of a workspace's limit according to the demand there: a
-// rate, and an amount that may be saved up (Lender). An instance admits requests from its shares alone
-// (Shares), and queries the holder for single requests that exceed them. So most requests need no query,
-// and instances can continue for a while if the holder is lost.
+// rate, and an amount that may be saved up (Lender). Each share is a token bucket with that rate and
+// that capacity; its level is what the instance has saved up. An instance admits requests from its
+// shares alone (Shares), and queries the holder for single requests that exceed them. So most requests
+// need no query, and instances can continue for a while if the holder is lost.
 //
 // # The bound
 //
@@ -13,29 +14,30 @@
 //
 //	K = B + max(0, Z - R x T)
 //
-// where Z is what the deployment allows beyond R and B in a window, and T is the longest time for which
-// an amount may be in transit between the holder and an instance, or may be given back. What is admitted
-// in a window W was saved up at its start, was gained during it, was in transit, or had been taken by
-// requests that did not run: at most K + R x W + R x T. If Z is at least R x T, this is within the
-// deployment's bound of (R x W + B) x (1 + overage) + slack. A request is admitted between the time at
-// which it is sent and the time at which it reaches a server, so a request that is sent and arrives within
-// the window is admitted within it.
+// where Z is the amount by which the deployment allows R x W + B to be exceeded in a window W, and T is
+// the sum of the longest time for which an amount may be in transit between the holder and an instance
+// (maxTransit) and the time within which the cost of a request that did not run is refunded
+// (refundWindow). What is admitted in a window W was saved up at its start, was gained during it, was
+// in transit, or had been taken by requests that did not run: at most K + R x W + R x T. If Z is at
+// least R x T, this is within the deployment's bound of (R x W + B) x (1 + overage) + slack. A request
+// is admitted between the time at which it is sent and the time at which it reaches a server, so a
+// request that is sent and arrives within the window is admitted within it.
 //
 // # Lost messages
 //
 // The sum holds whichever messages are lost. The holder counts a share as lent from the time at which it
 // creates the reply that contains the share until the instance reports another one, or until the share's
-// lifetime has passed since the holder last sent it. At the instance, the share ends one lifetime after
+// lifetime has passed since the holder created the last reply that contains it. At the instance, the share ends one lifetime after
 // the instance sent the report to which the reply belongs. If a message is lost, the larger of the two
-// shares remains counted. Lending moves saved-up amounts only if they are taken from the holder's own: a
-// share that grows starts with the level of the smaller one.
+// shares remains counted. A larger share does not raise the instance's level. Apart from the gain over
+// time and from refunds, the level rises only by a grant, which the holder takes from its reserve.
 //
 // # Change of holder
 //
 // A holder lends and answers queries only while its lease is valid. Its successor lends nothing before
-// the previous lease has expired, and takes over the shares that instances report. The maximum that is
-// ever lent of a limit, less those shares, counts as lent to instances that have not reported, until all
-// have reported or the shares of the previous holder have expired. Clocks of different machines are never
+// the previous lease has expired, and takes over the shares that instances report. All that may
+// be lent of a limit (Lender.maxLent), less those shares, counts as lent to instances that have not
+// reported, until all have reported or the shares of the previous holder have expired. Clocks of different machines are never
 // compared.
 package quota
 
@@ -58,8 +60,8 @@
 }
 
 const (
-	// maxTransit bounds the time for which an admitted amount may be in transit between the accounts of
-	// the holder and of an instance: the duration of one call.
+	// maxTransit bounds the time for which an amount may be in transit between the holder and an
+	// instance: the duration of one call. A grant that takes longer is discarded.
 	maxTransit = 500 * time.Millisecond
 	// refundWindow is the time within which the cost of a request that did not run is refunded.
 	// Most refusals arrive within milliseconds.
@@ -76,8 +78,8 @@
 // Share is an instance's part of a limit: the rate per second, and the amount that may be saved up.
 type Share struct{ Rate, Saved float64 }
 
-// larger returns the smallest share that covers both.
-func (s Share) larger(other Share) Share {
+// covering returns the smallest share that covers both shares.
+func (s Share) covering(other Share) Share {
 	return Share{max(s.Rate, other.Rate), max(s.Saved, other.Saved)}
 }
 
@@ -89,8 +91,8 @@
 	return Share{max(0, s.Rate-other.Rate), max(0, s.Saved-other.Saved)}
 }
 
-// within returns the share capped by another one.
-func (s Share) within(other Share) Share {
+// cappedBy returns the share capped by another one.
+func (s Share) cappedBy(other Share) Share {
 	return Share{min(s.Rate, other.Rate), min(s.Saved, other.Saved)}
 }
 
--- a/daemon/limits_test.go
+++ b/daemon/limits_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestOperatorCredential checks that the operators' API requires the credential, and
-// refuses messages above the size limit.
+// TestOperatorCredential checks that the operators' API requires the credential,
+// and that a message above the size limit is refused whatever the credential.
 func TestOperatorCredential(t *testing.T) {
 	server := httptest.NewServer(newCoreDaemon(t).operatorHandler())
 	defer server.Close()
@@ -82,7 +82,7 @@
 		client := martenportv1connect.NewOperatorServiceClient(http.DefaultClient, server.URL, connect.WithInterceptors(bearer(given)))
 		_, err := client.GetStatus(t.Context(), connect.NewRequest(&martenportv1.GetStatusRequest{}))
 		if (err == nil) != (given == "secret") {
-			t.Errorf("status with credential %q: %v", given, err)
+			t.Errorf("status with credential %q: %v, want success with the right credential only", given, err)
 		}
 		_, err = client.Plan(t.Context(), connect.NewRequest(&martenportv1.PlanRequest{Declaration: make([]byte, operators.MaxMessageBytes+1)}))
 		var refused *connect.Error
@@ -110,15 +110,15 @@
 	f.Add("caption", "prompt", "key", int32(1), int64(1000), int32(1))
 	f.Fuzz(func(t *testing.T, model, prompt, key string, tokens int32, timeout int64, priority int32) {
 		req := &martenportv1.GenerateRequest{Model: model, Prompt: prompt, Key: key, MaxTokens: tokens, TimeoutMs: timeout, Priority: priority}
-		j, err := c.generateJob(req)
+		job, err := c.generateJob(req)
 		if err != nil {
 			if verdict.Of(err).Verdict != verdict.NotRun {
 				t.Errorf("%v, want verdict NotRun", err)
 			}
 			return
 		}
-		if j.deadline <= 0 || j.deadline > c.settings.MaxTimeout || len(prompt) > c.settings.MaxPromptBytes || req.MaxTokens > 100 || len(key) > maxNameBytes {
-			t.Errorf("request outside the limits accepted: %+v", j)
+		if job.deadline <= 0 || job.deadline > c.settings.MaxTimeout || len(prompt) > c.settings.MaxPromptBytes || req.MaxTokens > 100 || len(key) > maxNameBytes {
+			t.Errorf("request outside the limits accepted: %+v", job)
 		}
 	})
 }
--- a/entry/crashcheck.go
+++ b/entry/crashcheck.go
@@ -16,20 +16,22 @@
 // not answer at all; the probes do not wait for that.
 var probeDelays = []time.Duration{0, 50 * time.Millisecond, 150 * time.Millisecond, 500 * time.Millisecond}
 
-// probeTimeout bounds one probe: many round trips between failure domains.
+// probeTimeout bounds one probe. It is long enough for several round trips between failure domains.
 const probeTimeout = 300 * time.Millisecond
 
-// minConnects is how often a server that is not an engine has to accept a connection to count as
-// running.
+// minConnects is the number of connections that a server other than an engine has to accept to count
+// as running. Such servers have no call that shows it: see platform.Backends.Presence.
 const minConnects = 2
 
-// probeSpacing is the minimum time between two probes of a server that was found running, so that a
-// server that breaks off many answers without ending is not probed for each of them.
+// probeSpacing is the minimum time from a probe that found a server running to the first probe of the
+// server's next check, so that a server that breaks off many answers without ending is not probed for
+// each of them. Within a check it is the maximum time between two probes if another answer breaks off
+// between them.
 const probeSpacing = 250 * time.Millisecond
 
-// Delays between probes of a server that is running but may be about to end, because an answer broke
-// off. The delay starts at minReprobeDelay after an answer broke off and doubles with each probe up to
-// maxReprobeDelay.
+// Delays between the probes of one check, while the server is running but may be about to end. The
+// first delay is minReprobeDelay, and each further one is twice the previous one, up to maxReprobeDelay.
+// If another answer breaks off, the current delay is cut to probeSpacing.
 const (
 	minReprobeDelay = 60 * time.Millisecond
 	maxReprobeDelay = time.Second
@@ -37,16 +39,17 @@
 
 // crashCheck is a series of probes whether a server has ended.
 type crashCheck struct {
-	// probed is closed after the next probe; guarded by crashDetector.mu.
+	// probed is closed after the first probe that follows the latest request for one. requestProbe
+	// replaces it if it is closed. Guarded by crashDetector.mu.
 	probed chan struct{}
 	// done is closed when the check has ended.
 	done chan struct{}
-	// newFailure is signaled when another answer breaks off.
-	newFailure chan struct{}
+	// answerBroke is signaled when another answer breaks off.
+	answerBroke chan struct{}
 }
 
 func newCrashCheck() *crashCheck {
-	return &crashCheck{probed: make(chan struct{}), done: make(chan struct{}), newFailure: make(chan struct{}, 1)}
+	return &crashCheck{probed: make(chan struct{}), done: make(chan struct{}), answerBroke: make(chan struct{}, 1)}
 }
 
 // requestProbe makes the next probe happen soon because another answer broke off. crashDetector.mu
@@ -55,7 +58,7 @@
 	if isClosed(c.probed) {
 		c.probed = make(chan struct{})
 	}
-	pause.Wake(c.newFailure)
+	pause.Wake(c.answerBroke)
 }
 
 // markProbed records that the server was probed. crashDetector.mu must be held.
@@ -74,24 +77,24 @@
 	}
 }
 
-// check probes a server, from a given time on, until it is clear whether it has ended. It serves all
-// answers that break off meanwhile.
-func (c *crashDetector) check(incarnation quarantine.Incarnation, s serving.Server, from time.Time, check *crashCheck) {
+// runCheck probes a server, from a given time on, until it is clear whether it has ended. Answers that
+// break off meanwhile start no check of their own.
+func (c *crashDetector) runCheck(incarnation quarantine.Incarnation, s serving.Server, from time.Time, check *crashCheck) {
 	time.Sleep(clock.Until(from))
 	for wait := minReprobeDelay; c.probeOnce(incarnation, s, check); wait = min(2*wait, maxReprobeDelay) {
-		wait = check.pause(wait)
+		wait = check.waitForNextProbe(wait)
 	}
 	close(check.done)
 }
 
-// pause waits between two probes, for probeSpacing at most if another answer breaks off meanwhile, and
-// returns the length of the pause.
-func (c *crashCheck) pause(wait time.Duration) time.Duration {
+// waitForNextProbe waits between two probes, for probeSpacing at most if another answer breaks off
+// meanwhile, and returns how long it waited.
+func (c *crashCheck) waitForNextProbe(wait time.Duration) time.Duration {
 	start := time.Now()
 	select {
 	case <-time.After(wait):
 		return wait
-	case <-c.newFailure:
+	case <-c.answerBroke:
 	}
 	wait = min(wait, probeSpacing)
 	time.Sleep(time.Until(start.Add(wait)))
@@ -114,9 +117,9 @@
 		return false
 	}
 	if presence == serving.PresenceRunning {
-		w.dropFailuresBefore(start)
+		w.dropIrrelevantAttempts(start)
 		w.lastSeen = clock.Now()
-		again = len(w.failures) > 0
+		again = len(w.brokenAttempts) > 0
 	}
 	if !again {
 		w.check = nil
@@ -149,14 +152,14 @@
 	return config != nil && config.Services[s.Service].Engine != nil
 }
 
-// failureRelevance is how long after its answer broke off or was abandoned a request may still be the
-// cause of its server's end. If one part of a server ends before the rest, answers break off while its
-// port is still open, and abandoned requests continue there. A request that another server answers
-// meanwhile is cleared.
-const failureRelevance = 2 * time.Second
+// brokenAttemptRelevance is how long after its answer broke off or was abandoned a request may still be
+// the cause of its server's end. If one part of a server ends before the rest, answers break off while
+// its port is still open, and abandoned requests continue there. A request that another server answers
+// meanwhile is cleared of the suspicion that it caused the end.
+const brokenAttemptRelevance = 2 * time.Second
 
-// dropFailuresBefore drops the failures that are at least failureRelevance older than t, when the
-// server was still running.
-func (w *incarnationWatch) dropFailuresBefore(t time.Time) {
-	w.failures = slices.DeleteFunc(w.failures, func(b timedAttempt) bool { return t.Sub(b.at) >= failureRelevance })
+// dropIrrelevantAttempts drops the attempts that broke off brokenAttemptRelevance or longer before
+// runningAt. The server was still running at that time, so they did not end it.
+func (w *incarnationWatch) dropIrrelevantAttempts(runningAt time.Time) {
+	w.brokenAttempts = slices.DeleteFunc(w.brokenAttempts, func(a timedAttempt) bool { return runningAt.Sub(a.at) >= brokenAttemptRelevance })
 }
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -34,14 +34,15 @@
 // incarnationWatch is the state of one incarnation of a server.
 type incarnationWatch struct {
 	server serving.Server
-	// failures are attempts whose answers broke off while it is unknown whether the server has ended.
-	failures []timedAttempt
+	// brokenAttempts are attempts whose answers broke off while it is unknown whether the server has
+	// ended.
+	brokenAttempts []timedAttempt
 	// check is the check in progress, nil if there is none.
 	check *crashCheck
 	ended bool
 	// lastSeen is when a probe last found the server running.
 	lastSeen time.Time
-	// lastChange is when the last failure or the end was recorded.
+	// lastChange is when the last broken attempt or the end was recorded.
 	lastChange time.Time
 }
 
@@ -55,15 +56,16 @@
 }
 
 const (
-	// failureRetention is how long after an answer broke off the end of its server may still be
-	// detected: entries disappear after three missed heartbeats, or later if the store is unavailable.
-	failureRetention = 20 * time.Second
+	// brokenAttemptRetention is how long after an answer broke off the end of its server may still be
+	// detected: a server's entry disappears after three missed heartbeats, or later if the store is
+	// unavailable.
+	brokenAttemptRetention = 20 * time.Second
 	// cancelledRelevance is how long after its client has disconnected a request may still be the
 	// cause of a server's end: servers drop the request when its connection closes.
 	cancelledRelevance = 500 * time.Millisecond
-	// maxFailures bounds the failures kept for one incarnation, about 300 B each. It is several times
-	// the number of requests that one instance has in progress on one server.
-	maxFailures = 1024
+	// maxBrokenAttempts bounds the attempts kept for one incarnation, about 300 B each. It is several
+	// times the number of requests that one instance has in progress on one server.
+	maxBrokenAttempts = 1024
 )
 
 // RecordBrokenAnswer implements forward.Guard.
@@ -71,7 +73,9 @@
 	now := clock.Now()
 	incarnation := quarantine.IncarnationOf(b.Server)
 	if s, known := c.dir.Server(incarnation.Server); !known || s.Draining || s.Born != incarnation.Born {
-		return completedCheck // it is leaving; some servers leave without notice, only their entry disappears
+		// The server is leaving or was replaced. Some servers leave without notice: only their entry
+		// disappears.
+		return completedCheck
 	}
 	c.mu.Lock()
 	w := c.incarnations[incarnation]
@@ -86,15 +90,15 @@
 		return completedCheck
 	}
 	defer c.mu.Unlock()
-	if len(w.failures) < maxFailures {
-		w.failures = append(w.failures, timedAttempt{b, now})
+	if len(w.brokenAttempts) < maxBrokenAttempts {
+		w.brokenAttempts = append(w.brokenAttempts, timedAttempt{b, now})
 	}
 	switch {
 	case w.check != nil:
 		w.check.requestProbe()
 	case !b.ClientGone:
 		w.check = newCrashCheck()
-		go c.check(incarnation, w.server, w.lastSeen.Add(probeSpacing), w.check)
+		go c.runCheck(incarnation, w.server, w.lastSeen.Add(probeSpacing), w.check)
 	}
 	if w.check == nil {
 		return completedCheck
@@ -138,7 +142,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.incarnations[quarantine.IncarnationOf(s)]
-	return w != nil && !w.ended && len(w.failures) > 0
+	return w != nil && !w.ended && len(w.brokenAttempts) > 0
 }
 
 // recordEnd records that an incarnation has ended and counts that against the requests that ran on it.
@@ -150,31 +154,31 @@
 		c.mu.Unlock()
 		return
 	}
-	failures := w.failures
-	w.failures, w.ended, w.lastChange = nil, true, now
+	attempts := w.brokenAttempts
+	w.brokenAttempts, w.ended, w.lastChange = nil, true, now
 	c.mu.Unlock()
 	c.set.GetOrCreateCounter(`martenport_servers_ended_total{service="` + w.server.Service + `"}`).Inc()
 	c.log.WithFields(logrus.Fields{
-		"server": incarnation.Server, "born": incarnation.Born, "service": w.server.Service, "evidence": evidence, "requests": len(failures),
+		"server": incarnation.Server, "born": incarnation.Born, "service": w.server.Service, "evidence": evidence, "requests": len(attempts),
 	}).Info("server ended while requests ran there")
-	c.countEnd(incarnation, failures, now)
+	c.countEnd(incarnation, attempts, now)
 }
 
 // countEnd counts the end of an incarnation against requests.
-func (c *crashDetector) countEnd(incarnation quarantine.Incarnation, failures []timedAttempt, now time.Time) {
+func (c *crashDetector) countEnd(incarnation quarantine.Incarnation, attempts []timedAttempt, now time.Time) {
 	if s, known := c.dir.Server(incarnation.Server); known && s.Draining && s.Born == incarnation.Born {
 		return // the end was planned
 	}
 	var escalations []quarantine.Escalation
-	for _, b := range failures {
-		if b.ClientGone && now.Sub(b.at) > cancelledRelevance {
+	for _, a := range attempts {
+		if a.ClientGone && now.Sub(a.at) > cancelledRelevance {
 			continue
 		}
-		escalations = append(escalations, c.ledger.RecordCrash(b.BrokenAttempt, now)...)
+		escalations = append(escalations, c.ledger.RecordCrash(a.BrokenAttempt, now)...)
 		// Restarted instances decide by all ends recorded for held requests, so each further end is
 		// written to the store.
-		if c.ledger.State(b.Fingerprint) != quarantine.Clear {
-			c.quarantine.scheduleWrite(b.Fingerprint)
+		if c.ledger.State(a.Fingerprint) != quarantine.Clear {
+			c.quarantine.scheduleWrite(a.Fingerprint)
 		}
 	}
 	c.quarantine.recordChange(escalations)
@@ -235,7 +239,7 @@
 	if len(escalations)+len(dropped) > 0 {
 		c.quarantine.recordChange(escalations)
 	}
-	for _, incarnation := range c.matchingIncarnations(func(w *incarnationWatch) bool { return now.Sub(w.lastChange) > failureRetention }) {
+	for _, incarnation := range c.matchingIncarnations(func(w *incarnationWatch) bool { return now.Sub(w.lastChange) > brokenAttemptRetention }) {
 		c.forget(incarnation)
 	}
 	for _, fp := range c.ledger.Expire(now) {
--- a/entry/era.go
+++ b/entry/era.go
@@ -10,14 +10,15 @@
 	"github.com/martenport/martenport/platform"
 )
 
-// A store that is restored from a copy begins a new era: see store.Revision.
+// A store that is restored from a copy (a backup) begins a new era: see store.Revision.
 
 // unknownEra is the era before the store has answered.
 const unknownEra = -1
 
 // recordEra records the store's era. fromStore is whether it was read from an answer of the store
-// rather than from the holder's update. Entries that the new era lacks may be written again shortly,
-// as after an outage.
+// rather than from the holder's update. A change of era counts as a return of the store (regainedAt):
+// a server whose entry is missing in the new era is not removed before directory.LapseGrace has passed,
+// since the entry may be written again.
 func (w *watcher) recordEra(era int64, fromStore bool) {
 	w.mu.Lock()
 	previous := w.era
@@ -28,7 +29,7 @@
 	now := clock.Now()
 	w.era = era
 	if previous != unknownEra {
-		w.eraStart, w.regainedAt = now, now
+		w.eraLearnedAt, w.regainedAt = now, now
 	}
 	w.mu.Unlock()
 	w.onNewEra(era)
@@ -38,20 +39,21 @@
 	}
 }
 
-// restoredWithin reports whether the store was restored from a copy less than the given time ago. An
-// instance that has seen only one era cannot tell and returns false.
+// restoredWithin reports whether this instance learned less than the given time ago that the store was
+// restored from a copy. It returns false if the instance has seen only one era.
 func (w *watcher) restoredWithin(within time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.eraStart.IsZero() && clock.Since(w.eraStart) < within
+	return !w.eraLearnedAt.IsZero() && clock.Since(w.eraLearnedAt) < within
 }
 
-// mustRelist reports whether the objects under a prefix, read by a call that began at started, have to
-// be listed again. Entries from before the restore count only if they are still there after
-// RestoreGrace.
+// mustRelist reports whether the servers have to be listed again, since RestoreGrace has ended after
+// the last call, which began at started. Until then, entries of servers that had been removed before
+// the restore are ignored; those that are still there afterwards count. It returns false for other
+// prefixes.
 func (w *watcher) mustRelist(prefix string, started time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	graceEnd := w.eraStart.Add(directory.RestoreGrace)
-	return prefix == platform.PrefixServers && !w.eraStart.IsZero() && started.Before(graceEnd) && !clock.Now().Before(graceEnd)
+	graceEnd := w.eraLearnedAt.Add(directory.RestoreGrace)
+	return prefix == platform.PrefixServers && !w.eraLearnedAt.IsZero() && started.Before(graceEnd) && !clock.Now().Before(graceEnd)
 }
--- a/entry/operators_workspaces.go
+++ b/entry/operators_workspaces.go
@@ -11,7 +11,7 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// Units of limits in operators' answers.
+// What a limit counts, in operators' answers.
 const (
 	unitRequests = "requests"
 	unitTokens   = "tokens"
@@ -20,12 +20,12 @@
 // ListWorkspaces implements martenportv1connect.OperatorServiceHandler.
 func (s operatorService) ListWorkspaces(ctx context.Context, _ *connect.Request[martenportv1.ListWorkspacesRequest]) (*connect.Response[martenportv1.ListWorkspacesResponse], error) {
 	out := &martenportv1.ListWorkspacesResponse{}
-	config, known := s.i.access.Current()
+	config, freshness := s.i.access.Current()
 	if config == nil {
 		return connect.NewResponse(out), nil
 	}
-	out.ConfigVersion, out.ConfigAgeMs = config.Version, known.Age.Milliseconds()
-	out.KeysTrusted = s.i.access.keysTrusted(config, known)
+	out.ConfigVersion, out.ConfigAgeMs = config.Version, freshness.Age.Milliseconds()
+	out.KeysTrusted = s.i.access.keysTrusted(config, freshness)
 	totals, err := s.i.follower.queryLimits(ctx)
 	out.TotalsKnown = err == nil
 	local := s.i.follower.shares.Status(clock.Now())
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -7,9 +7,9 @@
 // go on spending their shares of the budget of repeated sends, which the others must not use.
 const peerCountRetention = 10 * time.Minute
 
-// peerCount is the number of instances that share a failure domain's part of the budget: the highest
-// number that holders have reported, within peerCountRetention at least. It keeps the maxima of the
-// current period and of the previous one.
+// peerCount is the number of instances among which a failure domain's part of the budget of repeated
+// sends is divided: the highest number that holders have reported in the current and in the previous
+// period of peerCountRetention each.
 type peerCount struct {
 	periodStart       time.Time
 	current, previous int
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -73,10 +73,10 @@
 	// syncedAt has, by prefix, the time for which the copy of the objects is known to be complete;
 	// guarded by mu.
 	syncedAt map[string]time.Time
-	// era is the store's era, and eraStart when the instance learned of a change of the era; guarded
-	// by mu.
-	era      int64
-	eraStart time.Time
+	// era is the store's era, and eraLearnedAt when the instance learned of its last change, zero if
+	// there was none; guarded by mu.
+	era          int64
+	eraLearnedAt time.Time
 	// onNewEra is called with each era. onRestored is called with each but the first; fromStore is
 	// whether the era was read from an answer of the store.
 	onNewEra   func(era int64)
