--- a/command/balance/domain.go
+++ b/command/balance/domain.go
@@ -5,8 +5,9 @@
 // domainState is the state of a failure domain, derived from the latest requests to its servers. If
 // a domain is isolated from the others, every request between them is lost, and an instance would
 // have to find that out for each server separately. Within an isolated domain, four of five requests
-// were sent to servers of other domains. The domain's own servers had the models of most of them: of
-// 99 of the 157 requests that were lost in a domain that was isolated for six seconds.
+// were sent to other domains, although its own servers had the models of most of them. Of the 157
+// requests of a domain that were lost while it was isolated for six seconds, 99 were for models that
+// its own servers had.
 type domainState struct {
 	// unanswered is the number of consecutive requests with the outcome Unreachable or Silent.
 	// Neutral outcomes are not counted and do not end the series.
--- a/command/quota/lender.go
+++ b/command/quota/lender.go
@@ -28,7 +28,7 @@
 	// keepFraction is the fraction of its capacity that an instance keeps when it reports. The rest is
 	// room for what it gains until the next report.
 	keepFraction = 0.6
-	// burstDuration is the demand, as a duration, that the capacity of a share covers.
+	// burstDuration is the time for which the capacity of a share covers the instance's demand.
 	// extraBurstRequests is the number of mean requests that it covers beyond that. Without this bound,
 	// the instances that report first would get all that can be lent: 7 in 10 requests of the first two
 	// seconds of a load were refused.
@@ -56,7 +56,7 @@
 	// reported are the instances that have reported to this holder. pending are those that have not,
 	// and may have shares of the previous holder; nil while they are unknown.
 	reported, pending map[string]bool
-	// completeAt is when all of them had reported; zero before.
+	// completeAt is when all expected instances had reported; zero until then.
 	completeAt time.Time
 }
 
@@ -84,7 +84,7 @@
 	// reported is the share in the instance's last report, and assigned the one in the reply to it.
 	reported, assigned Share
 	expiresAt          time.Time
-	// demand is the cost per second of the requests at the instance, as of reportedAt.
+	// demand is the average cost per second of the requests at the instance at reportedAt.
 	demand     float64
 	reportedAt time.Time
 }
--- a/command/quota/quota.go
+++ b/command/quota/quota.go
@@ -27,18 +27,19 @@
 //
 // The sum holds whichever messages are lost. The holder counts a share as lent from the time at which it
 // creates the reply that contains the share until the instance reports another one, or until the share's
-// lifetime has passed since the holder created the last reply that contains it. At the instance, the share ends one lifetime after
-// the instance sent the report to which the reply belongs. If a message is lost, the larger of the two
-// shares remains counted. A larger share does not raise the instance's level. Apart from the gain over
-// time and from refunds, the level rises only by a grant, which the holder takes from its reserve.
+// lifetime has passed since the holder created the last reply that contains it. At the instance, the
+// share ends one lifetime after the instance sent the report to which the reply belongs. If a message is
+// lost, the larger of the two shares remains counted. A larger share does not raise the instance's level.
+// Apart from the gain over time and from refunds, the level rises only by a grant, which the holder takes
+// from its reserve.
 //
 // # Change of holder
 //
 // A holder lends and answers queries only while its lease is valid. Its successor lends nothing before
-// the previous lease has expired, and takes over the shares that instances report. All that may
-// be lent of a limit (Lender.maxLent), less those shares, counts as lent to instances that have not
-// reported, until all have reported or the shares of the previous holder have expired. Clocks of different machines are never
-// compared.
+// the previous lease has expired, and takes over the shares that instances report. All that may be lent
+// of a limit (Lender.maxLent), less those shares, counts as lent to instances that have not reported,
+// until all have reported or the shares of the previous holder have expired. Clocks of different machines
+// are never compared.
 package quota
 
 import (
--- a/command/quota/shares.go
+++ b/command/quota/shares.go
@@ -20,15 +20,16 @@
 	share Share
 	keep  float64
 	Bucket
-	// surplus is what was saved up beyond a share that has become smaller. It may not be used, and is
-	// returned with the next report, while the holder still counts the larger share. When the surplus
-	// was discarded instead, 19 in 100 requests were refused where each of 100 instances has a request
-	// only occasionally; now it is 12 in 100 (a run with about 1,350 requests on the users' platform).
+	// surplus is what was saved up beyond the capacity of a share that has become smaller. It must not
+	// be used, and is returned with the next report; until then the holder counts the larger share. When
+	// the surplus was discarded instead, 19 in 100 requests were refused where each of 100 instances has
+	// a request only occasionally; now it is 12 in 100 (a run with about 1,350 requests on the users'
+	// platform).
 	surplus float64
 	// expiresAt is when the share ends unless the holder confirms it.
 	expiresAt time.Time
-	// asked, refused, heaviest and requests cover the time since the last report; the totals that since
-	// the start.
+	// asked, refused, heaviest and requests cover the time since the last report; the totals cover the
+	// time since the start.
 	asked, refused, heaviest float64
 	requests                 int
 	totalAsked, totalRefused float64
--- a/entry/crashes.go
+++ b/entry/crashes.go
@@ -105,7 +105,7 @@
 	}
 	check := forward.CrashCheck{FirstProbe: w.check.probed, Done: w.check.done}
 	if now.Sub(w.lastSeen) < probeSpacing {
-		check.FirstProbe = closedChannel // the next probe is not immediate
+		check.FirstProbe = closedChannel // do not wait for the next probe, which is not immediate
 	}
 	return check
 }
@@ -184,7 +184,8 @@
 	c.quarantine.recordChange(escalations)
 }
 
-// handleEntryRemoved records that a server's entry was removed from the store.
+// handleEntryRemoved records that a server's entry was removed from the store. A draining server has
+// left as planned; any other has ended.
 func (c *crashDetector) handleEntryRemoved(id string, draining bool) {
 	for _, incarnation := range c.matchingIncarnations(func(w *incarnationWatch) bool { return w.server.ID == id }) {
 		if draining {
--- a/entry/follower.go
+++ b/entry/follower.go
@@ -28,9 +28,9 @@
 	// the answers by .012 +- .006 (48 pairs of days on the users' platform).
 	exchangeInterval = 125 * time.Millisecond
 	// exchangeIntervalPerInstance times the number of instances is the minimum interval in a large
-	// fleet, so that the holder answers 125 reports per second. The interval is at most
-	// maxExchangeInterval, since leaving servers and configurations must be known within two or three
-	// seconds.
+	// fleet, so that the holder answers 125 reports per second. The interval never exceeds
+	// maxExchangeInterval, even if that means more reports, since leaving servers and configurations
+	// must be known within two or three seconds.
 	exchangeIntervalPerInstance = 8 * time.Millisecond
 	maxExchangeInterval         = time.Second
 	// exchangeRetry is the pause after a report without an answer.
@@ -124,14 +124,16 @@
 	link quarantine.Link
 }
 
-// appliedState identifies the holder's updates that an instance has applied.
+// appliedState identifies the holder's updates that an instance has applied: the holder's fencing token,
+// and its last changes of views and of servers.
 type appliedState struct {
 	fence          int64
 	views, servers uint64
 }
 
-// limitsProgress has the last changes of servers' limits that were received from a holder and sent to
-// it.
+// limitsProgress is the progress of the exchange of servers' limits with the holder of a fencing token:
+// the revision of the holder's ledger of limits up to which its changes were received, and the revision
+// of this instance's ledger up to which its changes were sent.
 type limitsProgress struct {
 	fence          int64
 	received, sent uint64
@@ -355,8 +357,8 @@
 	}
 }
 
-// reportInterval returns the time between reports. It grows with the fleet, so that the holder's load
-// does not grow without bound.
+// reportInterval returns the time between reports. It grows with the number of instances, up to
+// maxExchangeInterval, to limit the holder's load.
 func (f *follower) reportInterval() time.Duration {
 	return min(maxExchangeInterval, max(f.minInterval, time.Duration(f.knownInstances())*exchangeIntervalPerInstance))
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -193,8 +193,9 @@
 	return m.self.Domain == domain || slices.ContainsFunc(m.known, func(other member) bool { return other.Domain == domain })
 }
 
-// takeoverDelay returns how long this instance should wait, so that instances with more processor time
-// go first: 0 for the one with the most, spread for one without any.
+// takeoverDelay returns how long this instance should wait before it tries to take over the lease, so
+// that instances with more processor time try first: 0 with the most processor time of all, spread with
+// none.
 func (m *members) takeoverDelay(ctx context.Context, spread time.Duration) time.Duration {
 	strongest := m.self.Cores
 	for _, other := range m.list(ctx) {
--- a/entry/quarantine_manager.go
+++ b/entry/quarantine_manager.go
@@ -20,7 +20,8 @@
 // quarantineManager shares the state of requests under which servers ended between all instances: with
 // the reports to the holder and its answers; directly between instances while no holder answers; and,
 // for suspect and quarantined requests, through the store, where the state survives a restart of all
-// instances. Only the last of these costs calls to the store, and it is rare.
+// instances. Only the last of these costs calls to the store, and it is rare. Suspect and quarantined
+// requests are called held.
 type quarantineManager struct {
 	ledger   *quarantine.Ledger
 	store    store.Store
@@ -39,9 +40,9 @@
 	mu sync.Mutex
 	// unwritten are requests whose state in the store may be out of date; guarded by mu.
 	unwritten map[serving.Fingerprint]bool
-	// delivered is the last change of the ledger that all other instances have, through the holder or
-	// a broadcast. The exceptions are in undelivered: by address, the last change that the instance
-	// has. Both are guarded by mu.
+	// delivered is the revision of the ledger up to which all other instances have its changes, through
+	// the holder or a broadcast. The exceptions are in undelivered: by address, the revision up to which
+	// that instance has them. Both are guarded by mu.
 	delivered     uint64
 	undelivered   map[string]uint64
 	syncRequested chan struct{}
@@ -126,7 +127,7 @@
 	pause.Wake(q.syncRequested)
 }
 
-// recordExpired deletes a request's entry in the store. Only the holder does so.
+// recordExpired handles the expiry of a held request. The holder alone deletes its entry in the store.
 func (q *quarantineManager) recordExpired(fp serving.Fingerprint) {
 	if q.isHolder() {
 		q.recordCleared(fp, quarantine.Quarantined)
--- a/entry/rpc.go
+++ b/entry/rpc.go
@@ -44,7 +44,8 @@
 	// the same for servers with limits.
 	Uses, ServerUses []quota.Use
 	// ServerLimits are the limits that servers have stated and that have changed since the previous
-	// report. SeenLimits is the holder's last change of limits that the instance has.
+	// report. SeenLimits is the revision of the holder's ledger of limits up to which the instance has
+	// its changes.
 	ServerLimits []backpressure.Snapshot
 	SeenLimits   uint64
 	// Leaving are the servers that have announced in answers that they leave.
@@ -73,7 +74,7 @@
 	// GaveUp is the released record of the answering instance's former lease, under which it orders no
 	// more loads. It is the zero Record if there is none.
 	GaveUp lease.Record
-	// News has no views: they are sent in Views.
+	// News is the holder's update without its views, which are sent in Views.
 	News  holder.Update
 	Views []WireView
 	// StoreAgeMS is the maximum age of the holder's copy of the store, in milliseconds.
@@ -92,7 +93,7 @@
 	Leaving []directory.LeavingServer
 }
 
-// TurnArgs asks to admit a request to a server with a limit. Told is the limit as known to the
+// TurnArgs asks to admit a request to a server with a limit. Told is the server's limit as known to the
 // instance.
 type TurnArgs struct {
 	Told backpressure.Snapshot
@@ -124,8 +125,9 @@
 type WantArgs struct{ holder.Request }
 
 // WantReply has the engine where a unit is or will be loaded. Held is false if the answering instance
-// is not the holder. Found is false if no engine has room for the unit; InMS is then the time until
-// the holder may be asked again.
+// is not the holder. Found is false if no engine has room for the unit. Engine is empty until it is
+// decided which engine loads the unit. InMS is the time in milliseconds until the unit is expected to
+// serve or, if Found is false, until the holder may be asked again. For is what the request waits for.
 type WantReply struct {
 	Held, Found bool
 	Engine      string
@@ -142,7 +144,7 @@
 	// GaveUp is the released record of a holder that could not write it, if the instance has received
 	// one.
 	GaveUp lease.Record
-	// Lease is what the instance knows of the holder's last renewal.
+	// Lease is what the instance knows of the last renewal of the lease.
 	Lease lease.RenewalAge
 }
 
@@ -165,11 +167,12 @@
 // TrialArgs asks the holder to let a suspect request run alone, or reports that it has ended.
 type TrialArgs struct {
 	quarantine.Trial
-	// Version is the version of the server's software.
+	// Version is the version of the server's software. LongestMS is the maximum duration of the trial
+	// in milliseconds.
 	Version   string
 	LongestMS int64
-	// Over is whether the trial has ended; Doubtful is whether it is then unknown if the server has
-	// ended.
+	// Over is whether the trial has ended. Doubtful is set with Over if it is unknown whether the
+	// server has ended, or whether its end counts against the request.
 	Over, Doubtful bool
 	// Known is the instance's state of the request. It is sent along so that the holder knows a
 	// trial's result before the trial ends there.
--- a/entry/serverlimiter.go
+++ b/entry/serverlimiter.go
@@ -44,8 +44,9 @@
 	// lastLent is when the holder last lent, and lastReport when a report was last sent at once;
 	// guarded by mu.
 	lastLent, lastReport time.Time
-	// Both are by server and guarded by mu: spareFrom is from when a request that can use another
-	// server may ask again, and lastRefused when a request that cannot was last refused.
+	// spareFrom is, by server, the earliest time at which a request that can use another server may ask
+	// again. lastRefused is, by server, when a request that can use no other server was last refused.
+	// Both are guarded by mu.
 	spareFrom, lastRefused map[string]time.Time
 }
 
@@ -186,15 +187,16 @@
 }
 
 const (
-	// minTurnRetry is the minimum time after which a request asks again.
+	// minTurnRetry is the minimum pause before a request asks the holder again.
 	minTurnRetry = 20 * time.Millisecond
-	// queryLimitRetry is when a request asks again if the instance has reached its rate of queries.
+	// queryLimitRetry is the pause before a request asks again if the instance has reached its maximum
+	// rate of queries.
 	queryLimitRetry = 500 * time.Millisecond
-	// noShareRetry is when a request asks again if no holder lends and this instance has no part of
-	// the server's limit.
+	// noShareRetry is the pause before a request asks again if no holder lends and this instance has no
+	// part of the server's limit.
 	noShareRetry = 500 * time.Millisecond
-	// heldBackReportTime is how long reports to the holder list a server as at its limit after a
-	// request was refused that could use no other server.
+	// heldBackReportTime is how long a server is reported to the holder as held back after a request
+	// that could use no other server was refused.
 	heldBackReportTime = 500 * time.Millisecond
 )
 
@@ -211,7 +213,9 @@
 	}
 }
 
-// heldBack returns the IDs of the servers that have a unit but may not be sent anything now.
+// heldBack returns the IDs of the servers that have a unit but to which no request should be sent now:
+// a request that could use no other server was refused within heldBackReportTime, or the server has
+// asked for a pause.
 func (i *serverLimiter) heldBack(service string, unit serving.Unit, now time.Time) []string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/entry/trial.go
+++ b/entry/trial.go
@@ -14,7 +14,8 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// requestTrial asks the holder whether a suspect request may run alone.
+// requestTrial asks the holder whether a suspect request may run alone, for maxRun at most, on a server
+// whose software has the given version.
 func (f *follower) requestTrial(ctx context.Context, t quarantine.Trial, version string, maxRun time.Duration) (bool, error) {
 	record, live := f.liveHolder()
 	if !live {
@@ -33,8 +34,8 @@
 	return reply.Granted, nil
 }
 
-// consultTimeout bounds one request for the state of a client request that is about to be sent: many
-// round trips between failure domains.
+// consultTimeout bounds one query to the holder for the state of a client request that is about to be
+// sent. It is long enough for several round trips between failure domains.
 const consultTimeout = 200 * time.Millisecond
 
 // consult exchanges the state of a request with the holder.
@@ -73,8 +74,8 @@
 	f.link = link
 }
 
-// reportProgress returns the number of reports in a row that the holder has not answered, and the last
-// change of the ledger that it has received.
+// reportProgress returns the number of consecutive reports that the holder has not answered, and the
+// revision of the ledger up to which the holder has its changes.
 func (f *follower) reportProgress() (unansweredCount int, delivered uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -45,9 +45,10 @@
 	configAvailable chan struct{}
 
 	mu sync.Mutex
-	// storeDown is whether the store was last known to be down, and regainedAt when it was next known
-	// to be up, from an own call or the holder's update. lastFailedStart is when the last failed call,
-	// other than a watch, began. All are guarded by mu.
+	// storeDown is whether the store was last known to be down. regainedAt is when it was known to be up
+	// again, from an own call or the holder's update; a change of era and the disappearance of most
+	// entries at once count as such a return, too. lastFailedStart is when the last failed call, other
+	// than a watch, began. All are guarded by mu.
 	storeDown                   bool
 	regainedAt, lastFailedStart time.Time
 	// failed is whether the last call for a prefix failed; guarded by mu.
@@ -122,9 +123,9 @@
 
 // firstUpdateWait is how long an instance that starts waits for the holder's update before it reads
 // the list of servers itself, and watches. If all instances start at once, they know the first holder
-// after about a second; 195 instances that did not wait made 3,225 calls before their first request,
-// 16 each. The configuration is read once without waiting, since an instance refuses all requests
-// before it has one.
+// after about a second. 195 instances that did not wait made 3,225 calls to the store before their
+// first request, 16 each. The configuration is read once without waiting, since an instance refuses all
+// requests before it has one.
 const firstUpdateWait = 1500 * time.Millisecond
 
 // awaitsFirstUpdate reports whether the holder's first update may still arrive.
@@ -281,8 +282,8 @@
 	}
 }
 
-// markRegained records that the store was up at a time, according to source. Entries that lapsed
-// before may be written again shortly. w.mu must be held.
+// markRegained records that the store was up at a time, according to source. Entries that lapsed during
+// the outage may be written again within directory.LapseGrace. w.mu must be held.
 func (w *watcher) markRegained(at time.Time, source string) {
 	if !w.storeDown {
 		return
--- a/entry/watch_apply.go
+++ b/entry/watch_apply.go
@@ -45,7 +45,7 @@
 // cannot be decoded, the one in force is not confirmed: it may have keys that the latest one lacks.
 func (w *watcher) confirmConfig(at time.Time) {
 	if w.restoredWithin(directory.LapseGrace) {
-		return // the copy may have an older configuration, and the latest one is written again
+		return // the restored copy may have an older configuration until the latest one is written again
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -85,8 +85,9 @@
 	}
 }
 
-// recordMassLapse records that most entries are missing at once. Servers do not leave like that: the
-// store was down for so short a time that no call of this instance failed.
+// recordMassLapse records that most entries are missing at once. Servers do not leave like that, so the
+// store must have been down, too briefly for a call of this instance to fail. This counts as a return of
+// the store.
 func (w *watcher) recordMassLapse(missing, known int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
