--- a/command/forward/budget.go
+++ b/command/forward/budget.go
@@ -27,11 +27,12 @@
 	boundFraction = 0.995
 	// maxDelay is the maximum sum of the delay with which requests are recorded here and the delay
 	// with which drawn sends arrive at a backend server: a connection takes at most 0.8 s, and a
-	// send is made within drawValidity after its draw. It does not depend on the window: as a
-	// fraction that suits a window of 10 s it allowed 5% too many arrivals in windows of 4 s.
+	// send is made within drawValidity after its draw. It does not depend on the window: when it was
+	// a fraction of the window, suitable for 10 s, 5% too many sends arrived in windows of 4 s.
 	maxDelay = 1500 * time.Millisecond
-	// sharedFraction is the fraction of Extra that is divided among instances. The rest covers
-	// shares that add up to more than the total while instances learn of a new one.
+	// sharedFraction is the fraction of Extra that is divided among instances. The rest is a
+	// reserve: instances learn of a new one at different times, and until all of them have reduced
+	// their shares, the shares add up to more than the total.
 	sharedFraction = 0.95
 	// roundingError is the tolerance for the sums of fractions that accrue; it is less than one
 	// repeated send.
@@ -47,7 +48,8 @@
 // of a service gains accrualFraction x Ratio with each request and accrualFraction x extraShare in
 // each Window, and holds at most capacityFraction x (Ratio x requests remembered + extraShare). A
 // send that arrives within a Window was drawn in it or at most maxDelay before it. So the processes
-// of one machine can spend at most what their bucket held then plus what has accrued since:
+// of one machine can spend at most what their bucket held maxDelay before the Window plus what has
+// accrued from then to the end of the Window:
 //
 //	capacityFraction x (Ratio x requests before + extraShare) +
 //	accrualFraction x (Ratio x requests since + extraShare x (1 + maxDelay / Window))
@@ -61,9 +63,10 @@
 	created time.Time
 	params  BudgetParams       // guarded by mu
 	buckets map[string]*bucket // guarded by mu
-	// idle is the bucket of a service that has had no requests so far; guarded by mu.
+	// idle is the bucket of all services without requests so far; the bucket of a service starts
+	// with its level. Guarded by mu.
 	idle bucket
-	// instances is the number of instances that share the part of this failure domain; 0 if
+	// instances is the number of instances that share this failure domain's part of Extra; 0 if
 	// unknown; guarded by mu.
 	instances int
 }
@@ -90,8 +93,8 @@
 	b.params = p
 }
 
-// SetInstances sets the number of instances that share the part of this failure domain. While it is
-// unknown (0), this instance has no share of Extra: if the number were underestimated, all
+// SetInstances sets the number of instances that share this failure domain's part of Extra. While
+// it is unknown (0), this instance has no share of Extra: if the number were underestimated, all
 // instances together would spend more than Extra.
 func (b *Budget) SetInstances(n int, now time.Time) {
 	b.mu.Lock()
@@ -132,7 +135,7 @@
 	// Requests is the number of requests remembered, and Repeats the number of repeated sends in
 	// the window that ends now, both at this instance.
 	Requests, Repeats int
-	// Instances is the number of instances that share the part of this failure domain; 0 if
+	// Instances is the number of instances that share this failure domain's part of Extra; 0 if
 	// unknown.
 	Instances int
 	// Age is the time since this Budget was created, at the start of the process.
--- a/command/forward/budget_test.go
+++ b/command/forward/budget_test.go
@@ -296,8 +296,8 @@
 }
 
 // TestDrawExpires: a send that was drawn before its server was known is made without another draw
-// if it is made immediately, but not after a wait: otherwise draws that wait for the same load
-// would all be sent in one window although they accrued in two.
+// if it is made immediately, but not after a wait: otherwise requests that wait for the same load
+// would all be sent in one window although their draws accrued in two.
 func TestDrawExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, reply{status: 200})
--- a/command/forward/choose.go
+++ b/command/forward/choose.go
@@ -115,7 +115,7 @@
 
 // lateProbability returns the probability that the request misses its objective if its model has to
 // be loaded from an engine's disk. Waiting times for loads are approximately exponentially
-// distributed, since a load begins when an engine becomes free.
+// distributed, since a load begins when an engine becomes free; the load time is used as their mean.
 func (t *transaction) lateProbability() float64 {
 	load := t.diskLoadTime()
 	if load <= 0 {
@@ -155,8 +155,8 @@
 // While a request waits and no engine is chosen yet, it checks every replicaPollInterval for an
 // engine that the holder has reported since, and asks the holder again after placeRefreshInterval:
 // the estimate may have become worse, or the engine that the first answer was based on may be free
-// earlier. Requests that slept for the whole time first announced lost .029 +- .007 of the score
-// (24 paired runs on the users' platform).
+// earlier. When requests slept for the whole time first estimated, the score was lower by
+// .029 +- .007 (24 paired runs on the users' platform).
 const (
 	replicaPollInterval  = 50 * time.Millisecond
 	placeRefreshInterval = 500 * time.Millisecond
--- a/command/forward/forward.go
+++ b/command/forward/forward.go
@@ -66,7 +66,7 @@
 
 // Place states where a unit is or will be loaded. The holder follows the load and reports the unit
 // as ready only once the load has completed. When instances sent their requests at the time first
-// announced, 466 of 12,000 sends were refused, most of them because the load had to wait for an
+// estimated instead, 466 of 12,000 sends were refused, most of them because the load had to wait for an
 // unload, and each was drawn from the budget of repeated sends (a run with 195 instances
 // and little traffic).
 type Place struct {
@@ -86,8 +86,8 @@
 	RecordArrival(unit serving.Unit, demand Demand)
 	// RegisterWait records that a request waits for a unit to be loaded, until the returned function
 	// is called. onTime is the latest time at which a load can begin and still lead to an answer
-	// within the request's objective, and leaves is when its client gives up.
-	RegisterWait(unit serving.Unit, priority int, onTime, leaves time.Time) func()
+	// within the request's objective, and giveUp is when its client gives up.
+	RegisterWait(unit serving.Unit, priority int, onTime, giveUp time.Time) func()
 	// RegisterRun records that a request is running on an engine, until the returned function is
 	// called. answered states whether the engine has answered.
 	RegisterRun(r Run) func(answered bool)
@@ -123,32 +123,32 @@
 	limiter  ServerLimiter
 	log      logrus.FieldLogger
 	counts   *Counts
-	// leaving is closed when the instance begins to shut down.
-	leaving chan struct{}
+	// draining is closed when the instance begins to shut down.
+	draining chan struct{}
 }
 
 // New returns a Forwarder.
 func New(p Params, dir *directory.Directory, s serving.Sender, placer Placer, b *balance.Balancer, budget *Budget, guard Guard, a Access, limiter ServerLimiter, counts *Counts, log logrus.FieldLogger) *Forwarder {
 	return &Forwarder{
 		params: p, dir: dir, sender: s, placer: placer, balancer: b, budget: budget, guard: guard, access: a, limiter: limiter, counts: counts, log: log,
-		leaving: make(chan struct{}),
+		draining: make(chan struct{}),
 	}
 }
 
-// Drain refuses all requests that have not been sent to a server yet, because the instance is
-// shutting down. It must be called only once.
-func (f *Forwarder) Drain() { close(f.leaving) }
+// Drain refuses all requests that would have to be sent, for the first time or again, from now on,
+// because the instance is shutting down. It must be called only once.
+func (f *Forwarder) Drain() { close(f.draining) }
 
-// leavingRetryAfter is the Retry-After sent by an instance that is shutting down; another instance
+// drainRetryAfter is the Retry-After sent by an instance that is shutting down; another instance
 // will answer.
-const leavingRetryAfter = 20 * time.Millisecond
+const drainRetryAfter = 20 * time.Millisecond
 
 // drainingFailure returns the refusal sent while the instance is shutting down, and nil before
 // that.
 func (f *Forwarder) drainingFailure() *verdict.Failure {
 	select {
-	case <-f.leaving:
-		return verdict.Refuse(verdict.ReasonDraining, "the instance is leaving").WithRetryAfter(leavingRetryAfter)
+	case <-f.draining:
+		return verdict.Refuse(verdict.ReasonDraining, "the instance is leaving").WithRetryAfter(drainRetryAfter)
 	default:
 		return nil
 	}
@@ -160,7 +160,7 @@
 // Serve implements serving.Handler.
 func (f *Forwarder) Serve(ctx context.Context, r *serving.Request, w http.ResponseWriter) *verdict.Failure {
 	f.counts.requestAccepted()
-	config, known := f.access.Current()
+	config, freshness := f.access.Current()
 	if config == nil {
 		return f.recordRefusal(r, verdict.Refuse(verdict.ReasonPlatform, "no configuration is known yet").WithRetryAfter(noConfigRetryAfter))
 	}
@@ -169,9 +169,9 @@
 	}
 	route := config.Match(r.Host, r.Path())
 	if route == nil {
-		return f.recordRefusal(r, access.NoRoute(config, r, known, f.access.Policy()))
+		return f.recordRefusal(r, access.NoRoute(config, r, freshness, f.access.Policy()))
 	}
-	admitted, failure := f.admit(ctx, admission{config: config, freshness: known, route: route}, r)
+	admitted, failure := f.admit(ctx, admission{config: config, freshness: freshness, route: route}, r)
 	if failure != nil {
 		return f.recordRejection(admitted, r, failure)
 	}
--- a/command/forward/forward_test.go
+++ b/command/forward/forward_test.go
@@ -340,11 +340,11 @@
 	}
 }
 
-// TestLeaveRefusesWaitingRequest: an instance that shuts down refuses waiting requests. Guards
-// against a request that is lost in the shutdown, found as LOST in portage's mix 684510430417.
-func TestLeaveRefusesWaitingRequest(t *testing.T) { synctest.Test(t, testLeaveRefusesWaitingRequest) }
+// TestDrainRefusesWaitingRequest: an instance that shuts down refuses waiting requests. Guards
+// against a request that is lost in the shutdown (found by portage as LOST, mix 684510430417).
+func TestDrainRefusesWaitingRequest(t *testing.T) { synctest.Test(t, testDrainRefusesWaitingRequest) }
 
-func testLeaveRefusesWaitingRequest(t *testing.T) {
+func testDrainRefusesWaitingRequest(t *testing.T) {
 	f := newFixture(t, reply{status: 200})
 	f.serve("stream", "warm", 4*time.Second)
 	f.placer.place = Place{Engine: "e1", Ready: time.Now().Add(2 * time.Second)}
--- a/command/forward/guard.go
+++ b/command/forward/guard.go
@@ -18,7 +18,8 @@
 // instances. Its quarantine state is therefore checked before each send and not only on arrival:
 // while the request waited for a load, servers may have crashed under other attempts of it.
 
-// Guard tracks the requests under which servers crash.
+// Guard tracks the requests under which servers crash. Package quarantine explains the states of
+// requests, suspects and trials.
 type Guard interface {
 	// Ready reports whether the quarantine records have been loaded, which an instance does first
 	// after its start.
@@ -96,11 +97,12 @@
 	// trialPollInterval is the pause before a suspect requests a trial again: about the time in
 	// which another suspect reaches its first event.
 	trialPollInterval = 50 * time.Millisecond
-	// noTrialRetryAfter is the Retry-After of a suspect that nobody can permit to run: about the
-	// time until there is a new holder.
+	// noTrialRetryAfter is the Retry-After of a suspect that is refused because no holder could
+	// be asked for a trial, or because other suspects run first: about the time until there is a
+	// new holder.
 	noTrialRetryAfter = 2 * time.Second
-	// trialSlack is how much longer than the request a trial may last: the time that the message
-	// about its end takes to arrive.
+	// trialSlack is how long after the request's deadline a trial may last: the time that the
+	// message about its end takes to arrive.
 	trialSlack = time.Second
 )
 
@@ -165,8 +167,8 @@
 
 // Time limits for the server check that a request waits for after its answer broke off.
 const (
-	// firstCheckTimeout applies to clear requests: a refused connection reveals a crash within
-	// milliseconds.
+	// firstCheckTimeout applies to requests whose state is clear: a refused connection reveals a
+	// crash within milliseconds.
 	firstCheckTimeout = 100 * time.Millisecond
 	// suspectCheckTimeout applies to suspects, for which it has to be known whether the server has
 	// crashed.
--- a/command/forward/guard_test.go
+++ b/command/forward/guard_test.go
@@ -16,9 +16,9 @@
 	// states are returned one after the other; the last one is repeated.
 	states []quarantine.State
 	// busy is how many times a trial is refused, and err the error of later calls of RequestTrial.
-	busy  int
-	err   error
-	ended map[string]bool
+	busy    int
+	err     error
+	crashed map[string]bool
 	// implicates is set if servers crash when answers break off. statesFromHolder are the states
 	// after the holder was consulted, which fails with consultErr.
 	implicates bool
@@ -28,10 +28,10 @@
 	statesFromHolder []quarantine.State
 	consultErr       error
 
-	consulted, tries, answered, trialsEnded int
+	consulted, trialRequests, answered, trialsEnded int
 	// inconclusiveEnds is the number of trials that ended inconclusively.
 	inconclusiveEnds int
-	failures         []quarantine.BrokenAttempt
+	brokenAttempts   []quarantine.BrokenAttempt
 }
 
 func (g *fakeGuard) State(serving.Fingerprint, string) quarantine.State {
@@ -51,10 +51,10 @@
 	return g.State(fp, "")
 }
 
-func (g *fakeGuard) Crashed(s serving.Server) bool { return g.ended[s.ID] }
+func (g *fakeGuard) Crashed(s serving.Server) bool { return g.crashed[s.ID] }
 
 func (g *fakeGuard) RequestTrial(context.Context, serving.Fingerprint, serving.Server, time.Duration) (Trial, error) {
-	g.tries++
+	g.trialRequests++
 	if g.busy > 0 {
 		g.busy--
 		return Trial{}, ErrTrialBusy
@@ -70,14 +70,14 @@
 }
 
 func (g *fakeGuard) RecordBrokenAnswer(b quarantine.BrokenAttempt) CrashCheck {
-	g.failures = append(g.failures, b)
+	g.brokenAttempts = append(g.brokenAttempts, b)
 	closed := make(chan struct{})
 	close(closed)
 	return CrashCheck{FirstProbe: closed, Done: closed}
 }
 
 func (g *fakeGuard) Implicated(serving.Fingerprint) bool {
-	return g.implicates && len(g.failures) > 0
+	return g.implicates && len(g.brokenAttempts) > 0
 }
 
 func (g *fakeGuard) Consult(context.Context, serving.Fingerprint) error {
@@ -147,8 +147,8 @@
 			start := time.Now()
 			_, failure := f.serve("stream", "warm", 2*time.Second)
 			duration := time.Since(start)
-			if len(f.servers.attempts) != test.sends || f.guard.trialsEnded != f.guard.tries-min(test.busy, f.guard.tries) && test.err == nil {
-				t.Errorf("%s: %d sends, %d of %d requested trials ended", name, len(f.servers.attempts), f.guard.trialsEnded, f.guard.tries)
+			if len(f.servers.attempts) != test.sends || f.guard.trialsEnded != f.guard.trialRequests-min(test.busy, f.guard.trialRequests) && test.err == nil {
+				t.Errorf("%s: %d sends, %d of %d requested trials ended", name, len(f.servers.attempts), f.guard.trialsEnded, f.guard.trialRequests)
 			}
 			if test.sends == 0 && (failure == nil || failure.Reason != test.reason || failure.Verdict != verdict.NotRun || failure.RetryAfter == 0) {
 				t.Errorf("%s: %+v, want a refusal for %s with a Retry-After", name, failure, test.reason)
@@ -181,10 +181,10 @@
 			f := newFixture(t, test.reply)
 			f.guard.states = []quarantine.State{quarantine.Suspect}
 			_, _ = f.serve("once", "warm", 2*time.Second)
-			if len(f.guard.failures) != test.failures || f.guard.answered != 0 {
-				t.Errorf("%s: %d broken answers, want %d; %d answered", name, len(f.guard.failures), test.failures, f.guard.answered)
+			if len(f.guard.brokenAttempts) != test.failures || f.guard.answered != 0 {
+				t.Errorf("%s: %d broken answers, want %d; %d answered", name, len(f.guard.brokenAttempts), test.failures, f.guard.answered)
 			}
-			for _, b := range f.guard.failures {
+			for _, b := range f.guard.brokenAttempts {
 				if b.ClientGone || b.Server.ID == "" {
 					t.Errorf("%s: %+v", name, b)
 				}
@@ -193,11 +193,11 @@
 	}
 }
 
-// TestEndedServersSkipped: a server that has crashed is not chosen although it is still announced.
-func TestEndedServersSkipped(t *testing.T) {
+// TestCrashedServersSkipped: a server that has crashed is not chosen although it is still announced.
+func TestCrashedServersSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, reply{status: 200, body: "done"})
-		f.guard.ended = map[string]bool{"s1": true, "s3": true}
+		f.guard.crashed = map[string]bool{"s1": true, "s3": true}
 		for range 20 {
 			if _, failure := f.serve("safe", "", time.Second); failure != nil {
 				t.Fatal(failure)
@@ -236,9 +236,9 @@
 			f := newFixture(t, broken, whole)
 			f.guard.implicates, f.guard.statesFromHolder, f.guard.consultErr = test.ended, []quarantine.State{test.fromHolder}, test.err
 			_, _ = f.serve("stream", "warm", 4*time.Second)
-			if len(f.servers.attempts) != test.sends || f.guard.consulted != test.consulted || f.guard.tries != test.tries {
+			if len(f.servers.attempts) != test.sends || f.guard.consulted != test.consulted || f.guard.trialRequests != test.tries {
 				t.Errorf("%s: %d sends, %d consultations, %d trials; want %d, %d and %d", name,
-					len(f.servers.attempts), f.guard.consulted, f.guard.tries, test.sends, test.consulted, test.tries)
+					len(f.servers.attempts), f.guard.consulted, f.guard.trialRequests, test.sends, test.consulted, test.tries)
 			}
 		})
 	}
--- a/command/forward/serverlimiter.go
+++ b/command/forward/serverlimiter.go
@@ -28,9 +28,9 @@
 	// Limited reports whether a server limits the requests it accepts. spareFrom is the estimated
 	// earliest time at which it can accept a request that could also be sent elsewhere.
 	Limited(s serving.Server) (limited bool, spareFrom time.Time)
-	// Admit requests permission to send a request to a server now. only states that the request
-	// cannot be sent to any other known server.
-	Admit(ctx context.Context, s serving.Server, t quota.Turn, only bool) Admission
+	// Admit requests permission to send a request to a server now. noAlternative is set if no server
+	// without a limit is available for the request.
+	Admit(ctx context.Context, s serving.Server, t quota.Turn, noAlternative bool) Admission
 }
 
 // Admission is the answer to a request for permission to send.
@@ -47,7 +47,8 @@
 // limitedServers is the state of one request with regard to servers that limit the requests they
 // accept.
 type limitedServers struct {
-	// hasAlternative is set if the request can be sent to other servers than the one chosen last.
+	// hasAlternative is set if the request can be sent to a server without a limit, as of the last
+	// choice.
 	hasAlternative bool
 	// retryAt is the earliest time of the next request for permission, by server ID. Permission is
 	// requested from at most maxLimitedServers servers.
@@ -179,9 +180,9 @@
 
 // unavailableServers returns the IDs of the servers for which the request last waited or was
 // refused, up to a maximum number.
-func (i *limitedServers) unavailableServers() string {
+func (l *limitedServers) unavailableServers() string {
 	const maxServers = 8
-	return strings.Join(i.unavailable[:min(maxServers, len(i.unavailable))], ",")
+	return strings.Join(l.unavailable[:min(maxServers, len(l.unavailable))], ",")
 }
 
 // latest returns the later of two times.
--- a/command/forward/transaction.go
+++ b/command/forward/transaction.go
@@ -268,8 +268,8 @@
 // urgency returns the priority of a request at an engine, which is that of its route.
 func urgency(r *serving.Route) int { return min(maxUrgency, max(0, r.Priority)) }
 
-// silenceThreshold is how long a server must have had a request for its silence to count: many
-// times what an engine with a free slot takes to its first event.
+// silenceThreshold is the time without an answer after which a server counts as silent if the client
+// then leaves: many times what an engine with a free slot takes to its first event.
 const silenceThreshold = time.Second
 
 // handleSendFailure handles a send without an answer.
@@ -307,9 +307,10 @@
 func (t *transaction) handleNotExecuted(server serving.Server, resp *serving.Response, outcome *balance.Outcome) *verdict.Failure {
 	t.sends++
 	t.excluded[server.ID] = true
-	// From an engine, such an answer means that it lacks the unit. A plain server is not the one
-	// that was announced at its address. This has to count as a failure: otherwise the record of a
-	// server that is gone is preferred to its successor for as long as it stays in the directory.
+	// Misdirected means that an engine lacks the unit, or that another process than the announced
+	// plain server listens at its address. The second case has to count as a failure: otherwise the
+	// record of a server that is gone is preferred to its successor for as long as it stays in the
+	// directory.
 	if resp.Misdirected && t.request.Unit.Model != "" {
 		*outcome = balance.Neutral
 		t.missing = server.ID
@@ -340,7 +341,7 @@
 	select {
 	case <-timer.C:
 		return nil
-	case <-t.f.leaving:
+	case <-t.f.draining:
 		return t.f.drainingFailure()
 	case <-ctx.Done():
 	}
--- a/command/forward/want.go
+++ b/command/forward/want.go
@@ -9,8 +9,8 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// requestPlace requests that the unit be loaded. If the returned server is empty, it has to be
-// called again at the returned time. expected is the server on which the unit should be loaded by
+// requestPlace requests that the unit be loaded. If the returned server is empty, requestPlace has to
+// be called again at the returned time. expected is the server on which the unit should be loaded by
 // now, if there is one; it is used if the holder cannot be asked.
 func (t *transaction) requestPlace(ctx context.Context, expected serving.Server) (serving.Server, time.Time, *verdict.Failure) {
 	place, err := t.f.placer.RequestPlace(ctx, PlaceRequest{
