--- a/command/wake/coordinate.go
+++ b/command/wake/coordinate.go
@@ -19,8 +19,8 @@
 	"github.com/martenport/martenport/verdict"
 )
 
-// runWake tries to load the unit, repeatedly, for as long as somebody waits for it and the last
-// failure may recover.
+// runWake tries to load the unit, repeatedly, for as long as a caller waits for it and the cause of
+// the last failure may go away.
 func (w *Waker) runWake(ctx context.Context, u backend.Unit, latest func() time.Time) (string, error) {
 	w.env.Events.Record(event.Event{Kind: event.KindWake, Model: u.ID(), Detail: "version=" + u.Version})
 	for {
@@ -38,9 +38,9 @@
 	}
 }
 
-// addReplica loads one more replica on an engine that has none, if there are no more than the given
-// number of replicas now. It makes one attempt only: what prevents an additional replica is no
-// reason to wait.
+// addReplica loads one more replica on an engine that has none. If there are more than the given
+// number of replicas already, it returns no engine and no error. It makes a single attempt: unlike
+// the first replica, an additional one is not worth waiting for.
 func (w *Waker) addReplica(ctx context.Context, u backend.Unit, replicas int, latest time.Time) (string, error) {
 	var engines []table.EngineView
 	existing := 0
--- a/command/wake/flight.go
+++ b/command/wake/flight.go
@@ -35,8 +35,8 @@
 
 // do starts the call with the given ID, or joins the one in progress, and returns its result, or a
 // refusal once ctx ends. latest is the time until which the caller can use the result. A caller
-// leaves only grace after do returns, so that the call continues if the caller repeats it within
-// that time.
+// counts as waiting until grace has elapsed after do returned, so that the call continues if the
+// caller repeats it within that time.
 func (f *flightGroup) do(ctx context.Context, id string, latest time.Time, grace time.Duration, run flightFunc) (string, error) {
 	fl := f.startOrJoin(id, latest, run)
 	defer time.AfterFunc(grace, func() { f.leave(id, fl) })
--- a/command/wake/recover.go
+++ b/command/wake/recover.go
@@ -66,8 +66,8 @@
 	return found && m.State == table.Alive
 }
 
-// mayBecomeIdle reports whether a reachable engine would have room for the unit if it held nothing
-// else.
+// mayBecomeIdle reports whether a reachable engine on which the model is allowed, and which holds or
+// could obtain a slot of it, would have room for the unit if it held nothing else.
 func (w *Waker) mayBecomeIdle(u backend.Unit) bool {
 	index := w.env.Tables.Config.Index()
 	memory, err := memoryOf(index, u)
--- a/command/wake/streams.go
+++ b/command/wake/streams.go
@@ -14,9 +14,9 @@
 	"github.com/martenport/martenport/table"
 )
 
-// acquireStream waits for a stream of the weight store for a load on the engine. A load from a
-// cache, and that of an adapter, needs none. If the gate's instance cannot be reached, the load
-// proceeds without a stream.
+// acquireStream waits for a stream of the weight store for a load on the engine. No stream is needed
+// for an adapter, for a load from a cache, or if the engine reports the unit already. If the gate's
+// instance is unknown or cannot be reached, the load proceeds without a stream.
 func (w *Waker) acquireStream(ctx context.Context, engine table.EngineView, u backend.Unit, memory int64, latest time.Time) error {
 	if _, cached := engine.Cached[u.ID()]; cached || u.Adapter != "" {
 		return nil
--- a/command/wake/wake.go
+++ b/command/wake/wake.go
@@ -3,7 +3,7 @@
 // coordinator, so that a burst of requests at every instance results in one load order.
 //
 // The coordinator is chosen by rendezvous hashing, for efficiency only: two coordinators, chosen
-// under differing membership views, compete for the same slots, so the cap holds.
+// under differing membership views, compete for the same slots, so the cap on replicas holds.
 package wake
 
 import (
@@ -83,8 +83,8 @@
 // Wake loads u if it is not resident yet and returns an engine on which it is. ctx must have a
 // deadline; the load continues for other callers with later deadlines.
 func (w *Waker) Wake(ctx context.Context, u backend.Unit) (string, error) {
-	latest, limited := ctx.Deadline()
-	if !limited {
+	latest, hasDeadline := ctx.Deadline()
+	if !hasDeadline {
 		return "", verdict.Refuse(verdict.ReasonInvalid, "a wake needs a deadline")
 	}
 	return w.requested.do(ctx, flightID(u), latest, 0, func(ctx context.Context, latest func() time.Time) (string, error) {
