--- a/command/orderer/epoch.go
+++ b/command/orderer/epoch.go
@@ -141,8 +141,8 @@
 }
 
 // countDoubtful adds to the ledger what may still be loaded, whatever the engine reports: doubtful
-// claims, and own load orders that were not answered. Such an order may load a unit again after it
-// was unloaded. o.mutex must be held.
+// claims, and load orders of this orderer that were not answered. An unanswered order that arrives
+// late may load a unit again after it was unloaded. o.mutex must be held.
 func (o *Orderer) countDoubtful() {
 	for _, c := range o.record.DoubtfulClaims() {
 		o.ledger.AddDoubtful(c.Unit, c.MemoryBytes, c.Order)
--- a/command/orderer/orderer.go
+++ b/command/orderer/orderer.go
@@ -1,6 +1,6 @@
 // Package orderer sends load and unload orders to engines. Each engine has one orderer: an instance
-// in the engine's own failure domain, recorded in the platform together with an epoch, which serves
-// as the fencing token. The orderer keeps the engine's memory ledger, holds its slots, and polls
+// in the engine's own failure domain, recorded in the store together with an epoch, which serves as
+// the fencing token. The orderer keeps the engine's memory ledger, holds its slots, and polls
 // its reports on behalf of all instances.
 //
 // The invariant of this package: an order that could still arrive at the engine is counted before
@@ -61,7 +61,7 @@
 	// declared is the engine's declaration at the time of the take-over.
 	declared declaration.Engine
 
-	// mutex is a lock that can be waited for under a context. It must be held to access the fields
+	// mutex is a lock that can be acquired with a context. It must be held to access the fields
 	// below or to send an order, so that at most one order is in flight for the engine.
 	mutex chan struct{}
 
@@ -267,8 +267,8 @@
 	return o.send(ctx, order, o.engine.Unload)
 }
 
-// orderTimeout bounds the call that delivers one order. The engine only accepts the order within
-// that time; it carries the order out later.
+// orderTimeout bounds the call that delivers one order. Within that time the engine only has to
+// accept the order; it carries the order out later.
 const orderTimeout = 3 * time.Second
 
 // send adds the epoch and the engine's incarnation to the order and sends it once. If there is no
@@ -315,8 +315,9 @@
 	return nil
 }
 
-// Yield releases the slot of a model so that another engine can bind it. A model that is idle is
-// unloaded first; ErrInUse is returned if it is not idle.
+// Yield releases the slot of a model so that another engine can bind it. A resident model that is
+// idle is unloaded first. ErrInUse is returned if the model is in use, is being loaded or may still
+// be loaded by an unanswered order.
 func (o *Orderer) Yield(ctx context.Context, model string) error {
 	for {
 		changed := o.changed.wait()
--- a/command/orderer/reconcile.go
+++ b/command/orderer/reconcile.go
@@ -83,8 +83,8 @@
 // changed.
 func (o *Orderer) settledRecord() (placement.EngineRecord, bool) {
 	next, closed := o.record.CloseClaims(func(c placement.Claim) bool {
-		sent := c.Epoch == o.record.Epoch && !o.isUnresolved(c.Order)
-		return sent || slices.Contains(o.report.Orders, c.Order)
+		concluded := c.Epoch == o.record.Epoch && !o.isUnresolved(c.Order)
+		return concluded || slices.Contains(o.report.Orders, c.Order)
 	})
 	next, pruned := next.PruneClaims(func(unitID string) bool {
 		e, found := o.ledger.Entries[unitID]
--- a/command/orderer/reconcile_slots.go
+++ b/command/orderer/reconcile_slots.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// adoptResident binds a slot for a model found on the engine. If no slot is free, the model is not
-// permitted there and is unloaded. o.mutex must be held.
+// adoptResident binds a slot for a model that the ledger lists without one. If no slot is free, the
+// model is unloaded if it is resident. o.mutex must be held.
 func (o *Orderer) adoptResident(ctx context.Context, e placement.Entry) {
 	var noSlot *placement.NoSlotError
 	err := o.ensureSlot(ctx, e.Unit.Model)
--- a/command/orderer/report.go
+++ b/command/orderer/report.go
@@ -173,8 +173,8 @@
 }
 
 func (o *Orderer) publishLoad(r backend.Report) {
-	known, _ := o.env.Tables.Engines.Get(o.declared.Name)
-	same := known.Load.Queue == r.Queue && known.Load.Running == r.Running && known.Load.Epoch == o.record.Epoch
+	view, _ := o.env.Tables.Engines.Get(o.declared.Name)
+	same := view.Load.Queue == r.Queue && view.Load.Running == r.Running && view.Load.Epoch == o.record.Epoch
 	if same || time.Since(o.loadPublishedAt) < minLoadInterval {
 		return
 	}
--- a/command/orderer/slots.go
+++ b/command/orderer/slots.go
@@ -17,7 +17,8 @@
 
 func slotsKey(model string) string { return store.PrefixSlots + model }
 
-// platformFailure converts a store error into a refusal: nothing was sent to the engine.
+// platformFailure converts store.ErrUnavailable and store.ErrUnknown into a refusal, since nothing
+// was sent to the engine, and returns other errors unchanged.
 func platformFailure(err error) error {
 	if errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown) {
 		return verdict.Refuse(verdict.ReasonPlatform, "%v", err)
