--- a/internal/standin/backpressure.go
+++ b/internal/standin/backpressure.go
@@ -9,7 +9,7 @@
 type Backpressure struct {
 	// Limit is the number of requests per second that it accepts, as written in the header; omitted if empty.
 	Limit string
-	// Leaving reports whether the server says that it is leaving.
+	// Leaving makes the server state that it is leaving.
 	Leaving bool
 	// Rest, if not empty, makes the server refuse requests and ask for a pause of that many seconds.
 	Rest string
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -11,7 +11,7 @@
 	"github.com/martenport/martenport/store"
 )
 
-// RouteKind says whether a route's requests may be repeated, and whether they are streamed.
+// RouteKind states whether a route's requests may be repeated, and whether they are streamed.
 type RouteKind string
 
 // The kinds of routes.
@@ -58,7 +58,8 @@
 	Models       map[string]ServerModel
 	MemoryMB     float64
 	AdapterSlots int
-	// RemoteLoad is the duration of a load from the weight store, which permits LoadsPerSecond.
+	// RemoteLoad is the duration of a load from the weight store, and LoadsPerSecond the rate of loads that the store
+	// permits.
 	RemoteLoad     time.Duration
 	LoadsPerSecond float64
 	// Workspaces is nil if requests need no key.
--- a/internal/standin/copy.go
+++ b/internal/standin/copy.go
@@ -21,7 +21,7 @@
 	return Copy{objects: maps.Clone(p.objects), revision: p.revision}
 }
 
-// Restore replaces the platform's state by a backup and begins a new era: later writes are lost, and their
+// Restore replaces the platform's state with a backup and begins a new era: later writes are lost, and their
 // revision numbers are assigned again. Objects under the given prefixes that were written after the backup are
 // written again, as their writers would do.
 func (p *Platform) Restore(c Copy, rewrittenPrefixes ...string) {
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -14,7 +14,7 @@
 // attemptRetention is how long an attempt can be resumed after its end.
 const attemptRetention = 5 * time.Second
 
-// attempt is a request in an engine.
+// attempt is a request that an engine is running, or ran within the last attemptRetention.
 type attempt struct {
 	id   string
 	stop context.CancelFunc
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -130,7 +130,7 @@
 		return store.Object{}, store.ErrConflict
 	}
 	if known := p.objects[key]; version != 0 && bytes.Equal(known.Value, value) {
-		return known, p.writeResult() // a write that changes nothing makes no revision
+		return known, p.writeResult() // a write that changes nothing creates no revision
 	}
 	return p.storeObject(store.Object{Key: key, Value: slices.Clone(value)})
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -33,7 +33,7 @@
 	AdapterSlots int
 	// Loaded are the models that are loaded at the start.
 	Loaded []string
-	// Announced is the address in its store entry, if it is not its own.
+	// Announced is the address in its store entry; its own address if empty.
 	Announced string
 	// PoisonPrefix is the prefix of the bodies of requests that crash the server when it begins to run them; none if
 	// empty.
@@ -58,7 +58,8 @@
 
 // Server is a stand-in backend server, either a model engine or a plain service, that implements the protocol of
 // the users' platform: it announces itself in the store, accepts orders that expect its current sequence, answers
-// requests for loaded models, and records violations of promises.
+// requests for loaded models, and records violations: orders that exceed its capacity or load an adapter without its
+// model.
 type Server struct {
 	params  ServerParams
 	address string
@@ -236,8 +237,8 @@
 	return runs
 }
 
-// Violations returns descriptions of broken promises, such as an order to load more than the server has capacity
-// for.
+// Violations returns descriptions of the orders that exceeded the server's capacity or loaded an adapter without
+// its model.
 func (s *Server) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/server_requests.go
+++ b/internal/standin/server_requests.go
@@ -9,8 +9,6 @@
 	"time"
 )
 
-// How a Server answers requests.
-
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	id := r.Header.Get("Martenport-Attempt-Id")
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -49,8 +49,8 @@
 	s.active += delta
 }
 
-// Fetch takes as long as reading the given number of bytes from the store beside the other transfers, at a full
-// speed of bytesPerSecond.
+// Fetch simulates reading the given number of bytes: it returns after the time that this takes while the other
+// transfers share the bandwidth. bytesPerSecond is the full speed of a transfer.
 func (s *WeightStore) Fetch(ctx context.Context, bytes, bytesPerSecond float64) error {
 	if err := s.starts.Wait(ctx); err != nil {
 		return err
