--- a/command/forward/budget_test.go
+++ b/command/forward/budget_test.go
@@ -190,8 +190,8 @@
 }
 
 // maxTotalDelayMS is the maximum sum, in milliseconds, of the delays with which requests are
-// recorded and repeated sends arrive, in a window of 10 s: what the bucket leaves out of the
-// window.
+// recorded and repeated sends arrive, in a window of 10 s: the delay that Budget allows for, see
+// maxDelay.
 const maxTotalDelayMS = 1500
 
 // TestBudgetBound: for any restarts, arrivals, failures and added machines, and any number of
--- a/command/forward/misdirected_test.go
+++ b/command/forward/misdirected_test.go
@@ -12,14 +12,15 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// replaced answers for servers some of which are gone: another server now has their address.
-type replaced struct {
+// replacedServers answers for servers of which some have been killed: another server listens at their
+// addresses now.
+type replacedServers struct {
 	gone map[string]bool
 	// failing is set if the remaining servers answer with an error.
 	failing bool
 }
 
-func (r *replaced) Send(_ context.Context, a serving.Attempt) (*serving.Response, error) {
+func (r *replacedServers) Send(_ context.Context, a serving.Attempt) (*serving.Response, error) {
 	resp := &serving.Response{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("done"))}
 	switch {
 	case r.gone[a.Server.ID]:
@@ -40,7 +41,7 @@
 
 func testMisdirectedServersRankLower(t *testing.T) {
 	f := newFixture(t)
-	servers := &replaced{gone: map[string]bool{"s1": true, "s2": true}, failing: true}
+	servers := &replacedServers{gone: map[string]bool{"s1": true, "s2": true}, failing: true}
 	f.forwarder.sender = servers
 	for range 20 { // s3 is known to fail
 		f.serve("unsafe", "", 0)
