--- a/internal/standin/address.go
+++ b/internal/standin/address.go
@@ -11,8 +11,9 @@
 
 var uniqueIPsIssued atomic.Int64
 
-// UniqueLoopbackIP returns a loopback address that is not used by the last 253 calls, by another process, or by the
-// machine's outgoing connections, which come from 127.0.0.1. Use it for a listener that reuses its port after a
+// UniqueLoopbackIP returns a loopback address that was not returned by the last 253 calls or to another process, unless
+// the IDs of the processes are equal modulo 16384. The machine's outgoing connections do not use it either, since they
+// come from 127.0.0.1. Use it for a listener that reuses its port after a
 // restart, or listens on a port that was found to be free a moment ago: on 127.0.0.1 an outgoing connection may take
 // the port in between, which made a test with restarting servers fail.
 func UniqueLoopbackIP() string {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -71,7 +71,7 @@
 type Tally struct {
 	// Loads counts the loads started, Overcommits those that exceeded the engine's memory.
 	Loads, Overcommits int
-	// StaleOrders counts the orders refused because of an old epoch.
+	// StaleOrders counts the orders and fence calls refused because of an old epoch.
 	StaleOrders int
 	// Requests counts the attempts begun.
 	Requests int
@@ -101,7 +101,7 @@
 	e.loadCtx, e.stopLoads = context.WithCancel(context.Background())
 }
 
-// Restart empties the engine, as when its instance is reclaimed and replaced.
+// Restart empties the engine, as when its machine is reclaimed and replaced.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
