--- a/command/forward/budget_test.go
+++ b/command/forward/budget_test.go
@@ -190,8 +190,8 @@
 }
 
 // maxTotalDelayMS is the maximum sum, in milliseconds, of the delays with which requests are
-// recorded and repeated sends arrive, in a window of 10 s: what the bucket leaves out of the
-// window.
+// recorded and repeated sends arrive, in a window of 10 s: the delay that Budget allows for, see
+// maxDelay.
 const maxTotalDelayMS = 1500
 
 // TestBudgetBound: for any restarts, arrivals, failures and added machines, and any number of
@@ -296,8 +296,8 @@
 }
 
 // TestDrawExpires: a send that was drawn before its server was known is made without another draw
-// if it is made immediately, but not after a wait: otherwise draws that wait for the same load
-// would all be sent in one window although they accrued in two.
+// if it is made immediately, but not after a wait: otherwise requests that wait for the same load
+// would all be sent in one window although their draws accrued in two.
 func TestDrawExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, reply{status: 200})
