--- a/command/placement/ledger.go
+++ b/command/placement/ledger.go
@@ -13,7 +13,9 @@
 var (
 	// ErrNoMemory is returned when the unit does not fit even if every evictable unit is unloaded.
 	ErrNoMemory = errors.New("placement: not enough accelerator memory")
-	// ErrBusy is returned when an order for the unit is outstanding or its outcome is unknown.
+	// ErrBusy is returned when the state of the unit in the ledger does not allow the order: Reserve
+	// returns it if the unit has an entry in any phase, StartUnload if the unit has none or its entry
+	// is ordered or doubtful.
 	ErrBusy = errors.New("placement: unit has an order in progress")
 )
 
@@ -32,7 +34,10 @@
 	// gone.
 	Unloading
 	// Doubtful: a load order may still be in flight, because an earlier orderer sent it or because
-	// it was not answered, and the engine has not reported the unit.
+	// it was not answered, and the engine has not reported the unit. This includes the units of
+	// doubtful claims (EngineRecord.Doubtful). The phase ends when the engine reports the unit, or
+	// when the orderer rebuilds the doubtful entries after it has closed claims or moved
+	// to a new epoch.
 	Doubtful
 )
 
@@ -41,10 +46,11 @@
 	Unit        backend.Unit
 	MemoryBytes int64
 	Phase       Phase
-	// Order is the ID of the last order that this orderer sent for the unit.
+	// Order is the ID of the last order that this orderer reserved or sent for the unit. For an entry
+	// that AddDoubtful added, it is the ID of the order in flight.
 	Order string
-	// Incarnation is the incarnation of the engine that accepted the order or reported the unit. It
-	// is empty until one of these has happened.
+	// Incarnation is the incarnation of the engine that accepted the last order or reported the unit.
+	// It is empty until one of these has happened, and StartUnload empties it again.
 	Incarnation string
 	// Served is the number of requests served, from the last report.
 	Served uint64
@@ -61,7 +67,8 @@
 // the sum over the entries past Capacity. It is not safe for concurrent use.
 type Ledger struct {
 	Capacity int64
-	Entries  map[string]Entry
+	// Entries is keyed by Unit.ID, which is the model's name for a model without an adapter.
+	Entries map[string]Entry
 }
 
 // NewLedger returns an empty ledger for an engine with capacity bytes of memory.
@@ -136,9 +143,10 @@
 }
 
 // ApplyReport updates the ledger from a report. A unit that is missing from the report is removed
-// only if the engine has received the last order for it, or if no order for it is outstanding. The
-// report must come from the engine's current incarnation, and DropOldIncarnations must have been
-// called if that incarnation is new.
+// only if the engine has received the last order for it, or if no order for it is outstanding.
+// Doubtful entries of units that are missing from the report remain. The report must come from the
+// engine's current incarnation, and DropOldIncarnations must have been called if that incarnation is
+// new.
 func (l *Ledger) ApplyReport(r backend.Report, now time.Time) {
 	reported := map[string]bool{}
 	for _, u := range r.Units {
@@ -169,6 +177,7 @@
 	}
 	e.Served, e.Running = u.Served, u.Running
 	if e.Phase == Unloading && !slices.Contains(r.Orders, e.Order) {
+		// The report was made before the engine received the unload order.
 		l.Entries[u.ID()] = e
 		return
 	}
@@ -181,7 +190,7 @@
 	l.touchModel(u.Unit, e.LastUsed)
 }
 
-// touchModel counts the use of an adapter as a use of its base model.
+// touchModel counts the use of an adapter as a use of its base model, whose Unit.ID is the model's name.
 func (l *Ledger) touchModel(u backend.Unit, at time.Time) {
 	m, found := l.Entries[u.Model]
 	if u.Adapter != "" && found && at.After(m.LastUsed) {
--- a/command/placement/record.go
+++ b/command/placement/record.go
@@ -6,8 +6,11 @@
 	"github.com/martenport/martenport/backend"
 )
 
-// EngineRecord is the platform object of one engine: its orderer, the orderer's epoch and, for an
-// engine that does not support fencing, every load order that may still arrive.
+// EngineRecord is the stored record of one engine: its orderer, the orderer's epoch and, for an engine
+// that does not support fencing, every load order that may still arrive. In a fleet whose instances
+// order loads through the backend.Engine interface, each engine has one orderer, an instance that takes
+// the engine over under a new epoch (see package orderer), independent of the lease holder of the entry
+// instances. The epoch is the fencing token of the orderer's orders.
 type EngineRecord struct {
 	// Orderer is the identity (name and incarnation) of the instance that sends orders to this
 	// engine. It is empty after a handover.
@@ -33,7 +36,7 @@
 }
 
 // Doubtful reports whether an earlier orderer may still send the claim's order. Until that is ruled
-// out, the slot and the memory stay reserved for this unit on this engine.
+// out, the model's Slot and the memory stay reserved for this unit on this engine.
 func (r EngineRecord) Doubtful(c Claim) bool {
 	return !c.Closed && c.Epoch != r.Epoch
 }
@@ -49,8 +52,9 @@
 	return out
 }
 
-// Takeover returns the record for a new orderer under the next epoch. It closes the claims whose
-// orders the engine has received; the claims that remain open become doubtful.
+// Takeover returns the record for a new orderer under the next epoch. received holds the IDs of the
+// orders that the engine reports as received. It closes the claims of these; the claims that
+// remain open become doubtful.
 func (r EngineRecord) Takeover(orderer string, received []string) EngineRecord {
 	r, _ = r.CloseClaims(func(c Claim) bool { return slices.Contains(received, c.Order) })
 	r.Orderer = orderer
@@ -88,7 +92,8 @@
 }
 
 // PruneClaims removes closed claims of units that the engine does not hold and, where a unit has
-// several closed claims, all but the newest. It reports whether it removed any.
+// several closed claims, all but the newest. A closed claim reserves nothing; the newest of a unit stays
+// in the record until the engine no longer holds the unit. It reports whether it removed any.
 func (r EngineRecord) PruneClaims(holds func(unitID string) bool) (EngineRecord, bool) {
 	before := len(r.Claims)
 	kept := map[string]bool{}
--- a/declaration/parse_bench_test.go
+++ b/declaration/parse_bench_test.go
@@ -8,7 +8,7 @@
 )
 
 // BenchmarkParse measures the cost of parsing a declaration of the size projected
-// for two years, which each instance does once per accepted declaration.
+// in two years (deployments.TwoYears). Each instance parses a declaration once when it accepts it.
 func BenchmarkParse(b *testing.B) {
 	source := deployments.TwoYears()
 	b.ReportAllocs()
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -10,10 +10,10 @@
 )
 
 // A new holder announces itself to all instances. Without that, each instance looks for it in the
-// store repeatedly once the previous holder has stopped answering: 195 instances make about 1,200
-// reads per lost holder and get the new holder's updates up to 0.8 s later. Announcements only decide
-// where reports and requests are sent. The right to order loads rests on the record in the store
-// alone.
+// store repeatedly once the previous holder has stopped answering: 195 instances then make about
+// 1,200 reads per lost holder and get the new holder's updates up to 0.8 s later. Announcements only
+// decide which instance the others send their reports and their requests for the holder to. The right
+// to order loads rests on the record in the store alone.
 
 // maxConcurrentCalls is how many instances are called concurrently. A few hundred are called within
 // some tens of round trips, and their first reports do not all arrive at once.
--- a/entry/clients.go
+++ b/entry/clients.go
@@ -13,9 +13,9 @@
 
 // clientServer serves the clients' connections.
 type clientServer struct {
-	guard  *connGuard
-	server *http.Server
-	ends   *connEndRecorder
+	guard    *connGuard
+	server   *http.Server
+	connEnds *connEndRecorder
 	// listener is set before acceptStarted is closed. acceptEnded is closed after the last connection
 	// has been accepted.
 	listener                   net.Listener
@@ -28,7 +28,7 @@
 func newClientServer(handler http.Handler, limits func() serving.Limits, set *metrics.Set, log logrus.FieldLogger) *clientServer {
 	ends := &connEndRecorder{log: log, set: set}
 	g := newConnGuard(limits, ends)
-	return &clientServer{guard: g, ends: ends, acceptStarted: make(chan struct{}), acceptEnded: make(chan struct{}), server: &http.Server{
+	return &clientServer{guard: g, connEnds: ends, acceptStarted: make(chan struct{}), acceptEnded: make(chan struct{}), server: &http.Server{
 		Handler: g.trackHandlers(ends.logAborted(handler)), MaxHeaderBytes: maxHeaderBytes, ConnState: g.connState, ConnContext: g.connContext,
 	}}
 }
@@ -57,13 +57,16 @@
 const drainPollInterval = 50 * time.Millisecond
 
 // idleCloseLead is how long before the deadline idle connections are closed although others still
-// serve requests: over twice the time that a final read and a first request take.
+// serve requests. It is over twice the time that closing them takes: the final read, which finds a request
+// that has arrived meanwhile (finalReadTimeout), and the wait for the first request on a connection without
+// any (firstRequestWait).
 const idleCloseLead = 2 * time.Second
 
-// drain waits for requests to end, until deadline at the latest, and closes all connections. serve
-// must have been called or be about to be. Idle connections stay open while requests are being served:
-// a request that arrives on one of them is answered and its connection closed, whereas a request that
-// is in flight when its connection closes has to be sent again. http.Server.Shutdown is not used
+// drain waits for requests to end, until deadline at the latest, and closes all connections. It
+// waits until serve has been called. Idle connections stay open while requests are being served, until
+// idleCloseLead before deadline at the latest: a request that arrives on one of them is answered and its
+// connection closed, whereas a request that is in flight when its connection closes has to be sent again.
+// http.Server.Shutdown is not used
 // because it drops requests that it reads after it has begun.
 func (c *clientServer) drain(deadline time.Time) {
 	c.waitUntil(deadline.Add(-idleCloseLead), c.guard.noRequests)
@@ -73,7 +76,7 @@
 	<-c.acceptEnded
 	c.waitUntil(deadline, c.guard.noConnections)
 	if !c.guard.noConnections() {
-		c.ends.logCutOff(c.guard.countPhases())
+		c.connEnds.logCutOff(c.guard.countPhases())
 	}
 	_ = c.server.Close()
 }
--- a/entry/connends_test.go
+++ b/entry/connends_test.go
@@ -58,7 +58,7 @@
 				c.client(s, s.connect())
 				time.Sleep(time.Minute)
 				checkLine(t, lines.AllEntries(), c.line, c.fields)
-				if text := metricsText(s.clients.ends.set); !strings.Contains(text, `martenport_client_connection_ends_total{end="`+end+`"} 1`) {
+				if text := metricsText(s.clients.connEnds.set); !strings.Contains(text, `martenport_client_connection_ends_total{end="`+end+`"} 1`) {
 					t.Errorf("not counted: %s", text)
 				}
 			})
--- a/entry/follower.go
+++ b/entry/follower.go
@@ -50,7 +50,8 @@
 	holderTimeout = 1200 * time.Millisecond
 )
 
-// follower is an instance's client of the lease holder. It implements forward.Placer.
+// follower is an instance's client of the lease holder. Every instance has one, also the holder
+// itself, which announces itself with it. It implements forward.Placer.
 type follower struct {
 	name    string
 	holder  *holder.Holder
--- a/entry/ratelimit_test.go
+++ b/entry/ratelimit_test.go
@@ -11,21 +11,21 @@
 )
 
 // These tests guard against engines that get more requests than they accept. An engine under load reports in its
-// answers how many requests per second it accepts from all instances together. Instances passed the answers on and
-// kept sending at the previous rate: only the status and the body of an answer were used, not what the engine
-// reported of itself. Engines got 3 to 7 requests per second before and after they reported a limit of 1.5 or 2, up
-// to two and a half times as many as they accepted, and no log line or counter showed the limit. With stand-ins the
-// first version failed in the same way.
+// answers how many requests per second it accepts from all instances together. Before instances evaluated these
+// reports, they forwarded the answers and kept sending at the previous rate: only the status and the body of an answer
+// were used. Engines got 3 to 7 requests per second before and after they reported a limit of 1.5 or 2, up to two and a
+// half times as many as they accepted, and no log line or counter showed the limit. The failure was
+// reproduced with the stand-in servers that these tests use.
 
-// Times of the bound on the requests to an engine that reports a limit.
+// When, and in windows of which length, arrivals at an engine that reports a limit are counted.
 const (
 	limitWindow = 4 * time.Second
-	// limitSettleTime is the time from the first report of the limit to the beginning of the bound.
+	// limitSettleTime is the time from the first report of the limit until the bound on arrivals must hold.
 	limitSettleTime = 3 * time.Second
 )
 
-// maxArrivalsAtLimit is the maximum number of requests in limitWindow to an engine that accepts rate requests per
-// second.
+// maxArrivalsAtLimit is the maximum number of requests that these tests allow in limitWindow to an engine that accepts
+// rate requests per second: half more than the rate, and 5 requests.
 func maxArrivalsAtLimit(rate float64) int { return int(1.5*rate*limitWindow.Seconds() + 5) }
 
 // checkLimits compares the arrivals at each engine with the bound for rate.
@@ -42,8 +42,9 @@
 // limitDuration is the time for which engines report a limit in these tests: two windows after limitSettleTime.
 const limitDuration = limitSettleTime + 2*limitWindow
 
-// TestLimitOfOneEngine lets one of three engines report a limit far below its share of the load. It must get no
-// more than that, the other engines get the rest, and it is used as before soon after it stops reporting the limit.
+// TestLimitOfOneEngine lets one of three engines report a limit far below its share of the load. It must get at
+// most maxArrivalsAtLimit, the other engines get the rest, and it is used as before soon after it stops reporting the
+// limit.
 func TestLimitOfOneEngine(t *testing.T) {
 	f := newLoadFleet(t)
 	f.startLoad()
@@ -100,7 +101,8 @@
 	if e.failed > 0 || e.withoutRetryAfter > 0 {
 		t.Errorf("%v: want none failed, and a Retry-After for each refused", e)
 	}
-	// The expected number comes from the requests sent, since a delay of the machine also delays the load.
+	// The time is computed from the requests sent, one per loadPause, since a delay of the machine also delays the
+	// load. The 3 engines accept 4 requests per second each.
 	t.Logf("the engines got at most %d, %d and %d in %s; %v",
 		maxArrivalsInWindow(f.engines[0], limitWindow, reported.Add(limitSettleTime), cleared),
 		maxArrivalsInWindow(f.engines[1], limitWindow, reported.Add(limitSettleTime), cleared),
@@ -144,11 +146,12 @@
 	defer func() { f.logArrivals(reported, time.Now()) }()
 	f.engines[0].SetBackpressure(standin.Backpressure{Limit: "0"})
 	f.startLoad()
-	const loaded = 2 * time.Second
-	time.Sleep(loaded + 2*limitWindow)
+	// loadTime is the time within which another engine must have loaded the model.
+	const loadTime = 2 * time.Second
+	time.Sleep(loadTime + 2*limitWindow)
 	ended := time.Now()
 	f.stopLoad()
-	e := f.outcomesBetween(reported.Add(loaded), ended)
+	e := f.outcomesBetween(reported.Add(loadTime), ended)
 	t.Logf("%v", e)
 	if e.failed > 0 || 50*e.refused > e.total {
 		t.Errorf("%v: want none failed, and at most 2%% refused once another engine has loaded the model", e)
@@ -160,8 +163,8 @@
 }
 
 // TestLimitIsShared checks that instances that got no answer with a limit learn of it, and of its end, from one
-// that did. It uses a plain server that gets no requests: the holder reads the state of engines, and what they
-// report then counts as well.
+// that did. It uses a plain server that gets no requests, so that observe is the only source of the limit. With an
+// engine it would not be: the holder also reads engines' reports, and a report without a limit would clear it.
 func TestLimitIsShared(t *testing.T) {
 	f := newFleet(t, 3)
 	f.await("a holder", func() bool { return f.holder() != nil })
--- a/internal/tcpdial/tcpdial_test.go
+++ b/internal/tcpdial/tcpdial_test.go
@@ -47,8 +47,8 @@
 	return value
 }
 
-// TestResetOnClose checks that closing resets the connection, so that the peer does not mistake the
-// bytes it received for a complete message.
+// TestResetOnClose checks that closing resets the connection, so that bytes in transit are dropped and
+// the peer does not mistake those that it received for a complete message.
 func TestResetOnClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/soak/check.go
+++ b/soak/check.go
@@ -83,7 +83,7 @@
 	case req.status == http.StatusOK && !strings.HasPrefix(req.expectedBody(), req.body):
 		found = append(found, Violation{"a part of an answer is a part of the client's own", fmt.Sprintf("%s (%s) got %q", req.id, req.route, req.body)})
 	}
-	if req.entryRunning && req.duration > routeTimeout+answerSlack {
+	if req.entryRunning && req.duration > longestTimeout+answerSlack {
 		found = append(found, Violation{"each request is answered or refused in its time", fmt.Sprintf("%s (%s) took %s", req.id, req.route, req.duration)})
 	}
 	return found
--- a/soak/clients.go
+++ b/soak/clients.go
@@ -135,10 +135,10 @@
 
 // exchange sends the request and reads the answer. It reports whether the connection can be reused.
 func (req *clientRequest) exchange(conn net.Conn, reader *bufio.Reader) bool {
-	_ = conn.SetDeadline(time.Now().Add(routeTimeout + 2*answerSlack)) // a read beyond the deadline ends the request
+	_ = conn.SetDeadline(time.Now().Add(longestTimeout + 2*answerSlack)) // a read beyond the deadline ends the request
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "POST /%s/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: %d\r\n", req.route, len(req.requestBody()))
-	header := standin.ClientHeader(req.id, req.model, routeTimeout)
+	header := standin.ClientHeader(req.id, req.model, longestTimeout)
 	header.Set(standin.KeyHeader, cmp.Or(req.key, steadyKey))
 	_ = header.Write(&text) // writes to a bytes.Buffer do not fail
 	text.WriteString("\r\n" + req.requestBody())
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -66,7 +66,7 @@
 // request, a server that sends backpressure or announces that it is leaving, a failing service while all instances are
 // killed repeatedly, and a restore of the store from a backup.
 func (r *run) scheduledFaults(ctx context.Context) []scheduledFault {
-	return []scheduledFault{{0, r.varyIdleTimeout(ctx)}, {r.params.FaultDuration / 10, r.poisonFault(ctx)}, {r.params.FaultDuration / 5, r.backpressureFault(ctx, r.random.IntN(len(r.servers)))}, {r.params.FaultDuration * 2 / 5, r.killAll(ctx, plainService)}, {r.params.FaultDuration * 4 / 5, r.restoreFault(ctx)}}
+	return []scheduledFault{{0, r.varyIdleTimeout(ctx)}, {r.params.FaultDuration / 10, r.poisonFault(ctx)}, {r.params.FaultDuration / 5, r.backpressureFault(ctx, r.random.IntN(len(r.servers)))}, {r.params.FaultDuration * 2 / 5, r.killAll(ctx, mainService)}, {r.params.FaultDuration * 4 / 5, r.restoreFault(ctx)}}
 }
 
 // proxyModes are the modes that faults draw from. blockFromTarget is listed twice, since lost answers put most
--- a/soak/keys_test.go
+++ b/soak/keys_test.go
@@ -15,7 +15,7 @@
 	history := func(late time.Duration, requests int, workspace string, keyPassed bool) map[string]int {
 		s := newHistory(2)
 		s.acknowledged = map[int64]time.Time{1: began, 2: began, 3: began.Add(time.Second), 4: began.Add(time.Minute)}
-		state := standin.State{Service: plainService, Runs: map[string]int{}}
+		state := standin.State{Service: mainService, Runs: map[string]int{}}
 		run := func(id, key, runAs string, sentAt time.Time) {
 			s.addRequest(clientRequest{id: id, route: "safe", key: key, sentAt: sentAt, status: 200, complete: true, body: "POST /safe/x body"})
 			state.Arrivals = append(state.Arrivals, standin.Arrival{ID: id, At: sentAt.Add(time.Millisecond), Workspace: runAs, KeyTold: keyPassed})
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -235,7 +235,7 @@
 	case server < r.params.Engines:
 		return engineService
 	case (server-r.params.Engines)%2 == 0:
-		return plainService
+		return mainService
 	default:
 		return sideService
 	}
