--- a/entry/crash_fixture_test.go
+++ b/entry/crash_fixture_test.go
@@ -25,7 +25,7 @@
 type crashFleet struct {
 	*fleet
 	engines crashEngineParams
-	lines   *crashLog
+	log     *crashLog
 	// mu also guards the list of instances while some are replaced.
 	mu sync.Mutex
 	// starts contains all starts of engines, crashedAt the times of their crashes; guarded by mu.
@@ -33,14 +33,14 @@
 	crashedAt []time.Time
 	// poisonAttempts contains the ids of the attempts of the poison request; guarded by mu.
 	poisonAttempts map[string]bool
-	// sent, failed and misjudged count harmless requests, those that got no answer, and those refused as
-	// quarantined; guarded by mu.
-	sent, failed, misjudged int
+	// sent counts harmless requests, failed those that were not served despite a retry, and wronglyRefused those
+	// that were refused as quarantined; guarded by mu.
+	sent, failed, wronglyRefused int
 }
 
-// crashEngineParams are the number of engines and how they crash.
+// crashEngineParams determine the number of engines, how they crash, and how often instances report.
 type crashEngineParams struct {
-	// eventPause is the pause between events of their streams.
+	// eventPause is the pause between the events of a stream.
 	eventPause time.Duration
 	// sameID: restarted engines have the id of the previous start, and their store entries stay.
 	sameID bool
@@ -59,25 +59,25 @@
 // defaultCrashEngines is the default number of engines that crash.
 const defaultCrashEngines = 6
 
-// newCrashFleet starts instances and engines that have the same model.
+// newCrashFleet starts instances and defaultCrashEngines engines, all of which have loaded m1.
 func newCrashFleet(t *testing.T, instances int, eventPause time.Duration) *crashFleet {
 	return newCrashFleetWith(t, instances, crashEngineParams{eventPause: eventPause})
 }
 
 func newCrashFleetWith(t *testing.T, instances int, engines crashEngineParams) *crashFleet {
-	lines := &crashLog{}
-	base := &fleet{t: t, logOutput: lines}
+	log := &crashLog{}
+	base := &fleet{t: t, logOutput: log}
 	if engines.slowReports {
 		base.beforeRun = func(i *Instance) { i.follower.minInterval = maxExchangeInterval }
 	}
-	f := &crashFleet{fleet: base.start(instances), engines: engines, poisonAttempts: map[string]bool{}, lines: lines}
+	f := &crashFleet{fleet: base.start(instances), engines: engines, poisonAttempts: map[string]bool{}, log: log}
 	ctx, stop := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	t.Cleanup(func() { stop(); work.Wait() })
 	for i := range engines.number() {
 		work.Go(func() { f.runEngine(ctx, i) })
 	}
-	f.servers["e1"].Drain() // these two cannot crash and restart
+	f.servers["e1"].Drain() // these two engines of the base fleet do not crash
 	f.servers["e2"].Drain()
 	f.await("only crashing engines in use", func() bool {
 		return !slices.ContainsFunc(f.instances, func(r *running) bool {
@@ -181,7 +181,7 @@
 		f.failed++
 	}
 	if refused {
-		f.misjudged++
+		f.wronglyRefused++
 	}
 }
 
@@ -197,8 +197,8 @@
 }
 
 // runLoad sends harmless requests, and the poison request from two clients, for the given time while disturb runs.
-func (f *crashFleet) runLoad(length time.Duration, disturb func(ctx context.Context)) {
-	ctx, stop := context.WithTimeout(context.Background(), length)
+func (f *crashFleet) runLoad(duration time.Duration, disturb func(ctx context.Context)) {
+	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	var work sync.WaitGroup
 	work.Go(func() { f.sendHarmless(ctx) })
@@ -209,8 +209,8 @@
 	work.Wait()
 }
 
-// lateAttempts counts the attempts of the poison request that reached an engine later than propagationBound after
-// the crash of which the request must have been quarantined.
+// lateAttempts counts the late attempts: those of the poison request that reached an engine more than
+// propagationBound after crash number crashesToQuarantine.
 func (f *crashFleet) lateAttempts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -236,15 +236,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.t.Logf("%d engines crashed, %d late attempts, %d of %d harmless requests failed, %d refused as quarantined",
-		len(f.crashedAt), late, f.failed, f.sent, f.misjudged)
+		len(f.crashedAt), late, f.failed, f.sent, f.wronglyRefused)
 	if len(f.crashedAt) > maxCrashes {
 		f.t.Errorf("%d engines crashed under one request, want at most %d", len(f.crashedAt), maxCrashes)
 	}
 	if late > lateAllowed {
 		f.t.Errorf("%d attempts more than %s after the third crash, want at most %d", late, propagationBound, lateAllowed)
 	}
-	if f.misjudged > 0 {
-		f.t.Errorf("%d harmless requests were refused as quarantined", f.misjudged)
+	if f.wronglyRefused > 0 {
+		f.t.Errorf("%d harmless requests were refused as quarantined", f.wronglyRefused)
 	}
 	if 20*f.failed > f.sent {
 		f.t.Errorf("%d of %d harmless requests failed, want under 5%%", f.failed, f.sent)
@@ -280,11 +280,11 @@
 	if !f.t.Failed() {
 		return
 	}
-	f.lines.mu.Lock()
-	for _, line := range f.lines.lines {
+	f.log.mu.Lock()
+	for _, line := range f.log.lines {
 		f.t.Log(strings.TrimSpace(line))
 	}
-	f.lines.mu.Unlock()
+	f.log.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.starts {
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -12,10 +12,13 @@
 	"github.com/martenport/martenport/internal/pause"
 )
 
-// These tests guard against a request that crashes each engine that begins to run it. The instance that sent it
-// retried it on a second engine, which crashed as well, and its client retried at other instances, to which the
-// request was new. Only the attempts of one request at one instance were limited: nothing was remembered of a
-// request from one attempt of its client to the next, or by other instances.
+// These tests guard against a poison request: one that crashes each engine that begins to run it. The instance that
+// received it retried it on a second engine, which crashed as well, and the client then retried at other instances,
+// which did not know of the crashes. Only an instance's attempts for one request of a client were limited: crashes
+// were neither remembered when the client sent the request again nor shared with other instances.
+//
+// Now a request becomes a suspect after two crashes, then runs isolated from other suspects, and is quarantined, that
+// is refused everywhere, after three crashes of which one was in an isolated run.
 //
 // In two periods of 16 s seventeen and nineteen engines crashed one after the other, and more than half of the
 // requests for the busiest model were not served. Before requests were quarantined, one such request without other
@@ -35,15 +38,16 @@
 	// shortEventPause and longEventPause are pauses between events, for streams of 50 ms and of 1 s.
 	shortEventPause = 5 * time.Millisecond
 	longEventPause  = 100 * time.Millisecond
-	// propagationBound is the time after the crash number crashesToQuarantine within which all instances must know
-	// of it and stop sending the poison request.
+	// propagationBound is the maximum time from the last of the first crashesToQuarantine crashes until all
+	// instances know of it and no longer send the poison request.
 	propagationBound    = 3 * time.Second
 	crashesToQuarantine = 3
 	// maxCrashes is the maximum number of crashes if several attempts are in progress before all instances know of
 	// the first crashes.
 	maxCrashes = 8
-	// lateAfterHolderLoss is the number of late attempts allowed if the holder is lost: three engines that crash
-	// at the same time do not quarantine a request before its isolated run, which waits for another holder.
+	// lateAfterHolderLoss is the number of late attempts (see lateAttempts) allowed if the holder is lost. Three
+	// engines that crash at the same time do not suffice to quarantine a request: that takes a crash in an isolated
+	// run, which has to wait for the next holder.
 	lateAfterHolderLoss = 1
 )
 
@@ -85,8 +89,8 @@
 // settleTime is longer than an engine runs the poison request before it crashes.
 const settleTime = 100 * time.Millisecond
 
-// TestPoisonRequest checks the bounds with two clients that repeat the poison request all the time, beside harmless
-// requests.
+// TestPoisonRequest checks the bounds of crashFleet.check with two clients that repeat the poison request all the
+// time, while harmless requests are sent as well. The tests below check the same bounds under further conditions.
 func TestPoisonRequest(t *testing.T) {
 	f := newCrashFleet(t, 4, shortEventPause)
 	f.runLoad(10*time.Second, func(context.Context) {})
@@ -162,10 +166,10 @@
 	f.check(lateAfterHolderLoss)
 }
 
-// TestPoisonRequestAtManyInstances checks that where instances report seldom, as in a large fleet, and four clients
-// send the poison request at the same time and retry at instances that have not seen it, it crashes at most two
-// engines more than those first attempts. Guards against a crash for each retry of each client until the next
-// reports (soak seed 2300).
+// TestPoisonRequestAtManyInstances checks the number of crashes where instances report to the holder seldom, as in a
+// large fleet. Four clients send the poison request at the same time and retry at instances that have not received it:
+// besides the engines of the four first attempts, at most two may crash. Guards against one crash for each retry of
+// each client until the next reports (soak seed 2300).
 func TestPoisonRequestAtManyInstances(t *testing.T) {
 	const (
 		clients = 4
@@ -196,7 +200,7 @@
 }
 
 // TestPoisonRequestDelayedCrash checks the bounds while engines crash only some time after they have cut off the
-// answer. Guards against crashes that count against no request, since the engine was still reachable after the
+// answer. Guards against crashes that are attributed to no request, because the engine was still reachable after the
 // cut-off, and against isolated runs that start too late.
 func TestPoisonRequestDelayedCrash(t *testing.T) {
 	for _, after := range []time.Duration{200 * time.Millisecond, 600 * time.Millisecond, 1500 * time.Millisecond} {
--- a/entry/era_test.go
+++ b/entry/era_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// forEachEra runs a test with a small fleet that relies on its holder, in the first era of the store and in the
-// third one, which follows two restores from a backup.
+// forEachEra runs a test with a small simulation whose instances rely on a holder, in the first era of the store and in
+// the third. A new era begins whenever the store is restored from a backup.
 func forEachEra(t *testing.T, test func(t *testing.T, s *simulation)) {
-	for name, before := range map[string]int{"first": 0, "third": 2} {
+	for name, restores := range map[string]int{"first": 0, "third": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSimulation(t, smallDeployment)
-				for range before {
+				for range restores {
 					s.restoreStore(s.store.Copy())
 				}
 				time.Sleep(10 * time.Second)
@@ -26,8 +26,8 @@
 	}
 }
 
-// advanceRevisions makes the store issue revisions that it issues again after it is restored from an earlier
-// backup.
+// advanceRevisions makes the store issue revisions. A store that is restored from an earlier backup issues the same
+// numbers again.
 func (s *simulation) advanceRevisions() {
 	for range 40 {
 		s.announce("p1", "ready")
@@ -35,21 +35,22 @@
 }
 
 // TestDrainPropagatesAfterRestore checks that all instances learn within the bound that a server is draining,
-// although the restored store issues revisions for the second time.
+// although the restored store issues the same revision numbers again.
 func TestDrainPropagatesAfterRestore(t *testing.T) {
 	forEachEra(t, func(t *testing.T, s *simulation) {
 		backup := s.store.Copy()
 		s.advanceRevisions()
 		time.Sleep(2 * time.Second)
 		s.restoreStore(backup)
-		if last := s.timeUntilAllKnow("p1", s.drain, nil); last > s.deployment.propagationBound {
-			t.Errorf("the last instance knows of the drain after %s, want at most %s", last, s.deployment.propagationBound)
+		if delay := s.timeUntilAllKnow("p1", s.drain, nil); delay > s.deployment.propagationBound {
+			t.Errorf("the last instance knows of the drain after %s, want at most %s", delay, s.deployment.propagationBound)
 		}
 	})
 }
 
-// TestLeaseMissingInBackup checks that a lease that the backup lacks passes on with a higher fencing token, also if
-// its holder is gone.
+// TestLeaseMissingInBackup checks that after a restore from a backup older than the current lease there is a holder
+// with a higher fencing token, also if the last holder was stopped, and that it does not assume at once that earlier
+// holders' operations have ended: the previous holder may not know of the next one yet.
 func TestLeaseMissingInBackup(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		forEachEra(t, func(t *testing.T, s *simulation) {
@@ -70,22 +71,23 @@
 				t.Errorf("token %d after %d", next, token)
 			}
 			if holder := s.holder().Instance.holder; holder.PriorOperationsEnded(time.Now()) {
-				t.Error("the next holder sends orders immediately, although the previous one may not know of it yet")
+				t.Error("the next holder assumes immediately that operations of earlier holders have ended")
 			}
 		})
 	}
 }
 
-// TestRestartOfAllAfterRestore checks that instances that are all restarted after a restore get a holder, which
-// waits until operations of a previous holder have ended.
+// TestRestartOfAllAfterRestore checks that after a restore and a restart of all instances there is a holder with a
+// higher fencing token, which waits until operations of earlier holders have ended, whether or not the backup contains
+// a lease.
 func TestRestartOfAllAfterRestore(t *testing.T) {
-	for name, leased := range map[string]bool{"no lease in the copy": false, "lease in the copy": true} {
+	for name, leaseInBackup := range map[string]bool{"no lease in the copy": false, "lease in the copy": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSimulation(t, smallDeployment)
 				backup := s.store.Copy()
 				token := s.holder().Instance.holder.Fence()
-				if !leased {
+				if !leaseInBackup {
 					backup = s.initialCopy
 				}
 				s.stopInstances(s.all()...)
@@ -99,16 +101,16 @@
 					t.Errorf("token %d after %d, earlier operations ended immediately: %t",
 						next.Fence(), token, next.PriorOperationsEnded(time.Now()))
 				}
-				if last := s.timeUntilAllKnow("p1", s.drain, nil); last > s.deployment.propagationBound {
-					t.Errorf("the last instance knows of the drain after %s", last)
+				if delay := s.timeUntilAllKnow("p1", s.drain, nil); delay > s.deployment.propagationBound {
+					t.Errorf("the last instance knows of the drain after %s", delay)
 				}
 			})
 		})
 	}
 }
 
-// TestRemovedServerInBackup checks that a removed server is not used because of its entry in the backup, unless
-// that entry stays.
+// TestRemovedServerInBackup checks that a removed server whose entry is restored from a backup is not used for 4 s after
+// the restore, and is known again if the entry stays.
 func TestRemovedServerInBackup(t *testing.T) {
 	forEachEra(t, func(t *testing.T, s *simulation) {
 		backup := s.store.Copy()
@@ -133,7 +135,8 @@
 	})
 }
 
-// TestMembersMissingInBackup checks that instances that the backup lacks register again.
+// TestMembersMissingInBackup checks that an instance that registered after the backup registers again after the
+// restore.
 func TestMembersMissingInBackup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, deployment{instances: 2, propagationBound: 2 * time.Second})
@@ -148,8 +151,8 @@
 	})
 }
 
-// TestServersMissingInBackup checks that servers whose entries the backup lacks remain in use until they have
-// written them again.
+// TestServersMissingInBackup checks that a server whose entry is missing in the backup remains in use until it has
+// written the entry again, 1.9 s after the restore.
 func TestServersMissingInBackup(t *testing.T) {
 	forEachEra(t, func(t *testing.T, s *simulation) {
 		backup := s.store.Copy()
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -51,16 +51,16 @@
 	done           chan struct{}
 }
 
-// Times of the stand-ins. Loads are short, but longer than the round trip of a request.
+// Times of the stand-ins. Model loads are short, but longer than the round trip of a request.
 const (
 	testLoadTime  = 150 * time.Millisecond
 	testHeartbeat = 200 * time.Millisecond
-	// awaitTimeout bounds all waits. It only determines how long a failed test takes.
+	// awaitTimeout is the time after which await fails a test. It only determines how long a failed test takes.
 	awaitTimeout = 30 * time.Second
 )
 
 // newFleet starts a store with a configuration, two engines with memory for two of the four models each, one plain
-// server, and n instances.
+// server (without models), and n instances, and waits until all instances are ready.
 func newFleet(t *testing.T, n int) *fleet {
 	t.Helper()
 	return newFleetWith(t, n, Options{})
@@ -71,7 +71,7 @@
 	return (&fleet{t: t, options: o}).start(n)
 }
 
-// start starts what newFleet describes.
+// start starts the store, servers and instances listed at newFleet.
 func (f *fleet) start(n int) *fleet {
 	t := f.t
 	t.Helper()
@@ -158,7 +158,7 @@
 	testReadyPort   = "8101"
 )
 
-// addInstance starts the instance of a machine at an address of its own.
+// addInstance starts an instance at its own loopback address. Its node name is derived from the number machine.
 func (f *fleet) addInstance(machine int) *running {
 	f.t.Helper()
 	ip := standin.UniqueLoopbackIP()
@@ -305,7 +305,7 @@
 	}
 }
 
-// runs returns the number of times that an attempt ran, over all servers.
+// runs returns the number of times that the attempt with the given id ran, summed over all servers.
 func (f *fleet) runs(id string) int {
 	n := 0
 	for _, s := range f.servers {
--- a/entry/leaving_outage_test.go
+++ b/entry/leaving_outage_test.go
@@ -15,8 +15,8 @@
 	"github.com/martenport/martenport/store"
 )
 
-// forEachPhase runs a test with fleets that rely on their holder, starting at several offsets to their reports and
-// watches.
+// forEachPhase runs a test with a small and a large simulation whose instances rely on a holder. It starts the test at
+// several points in time relative to the instances' periodic reports and watches.
 func forEachPhase(t *testing.T, test func(t *testing.T, s *simulation)) {
 	for _, d := range []deployment{smallDeployment, largeDeployment} {
 		for _, phase := range []time.Duration{0, 250 * time.Millisecond, 500 * time.Millisecond, 750 * time.Millisecond} {
@@ -31,8 +31,8 @@
 	}
 }
 
-// checkLeavingPropagates makes one server announce that it drains and removes the entry of another one, and checks
-// that all instances except one know of both within the bound.
+// checkLeavingPropagates makes one server announce that it is draining and removes the entry of another one, and checks
+// that all instances know of both within propagationBound. It ignores the instance except, which may be nil.
 func (s *simulation) checkLeavingPropagates(except *simulatedInstance) {
 	s.t.Helper()
 	time.AfterFunc(time.Millisecond, func() { s.remove("p2") })
@@ -106,14 +106,14 @@
 		s.await("the configuration in force", time.Minute, func() bool {
 			return !slices.ContainsFunc(s.all(), func(i *simulatedInstance) bool { return i.dir.Config().Version < 2 })
 		})
-		if last := time.Since(written); last > s.deployment.propagationBound {
-			t.Errorf("in force after %s, want at most %s", last, s.deployment.propagationBound)
+		if delay := time.Since(written); delay > s.deployment.propagationBound {
+			t.Errorf("in force after %s, want at most %s", delay, s.deployment.propagationBound)
 		}
 	})
 }
 
-// TestEntriesExpiredInShortOutage checks that servers stay known if their entries expire during an outage that only
-// watches can detect.
+// TestEntriesExpiredInShortOutage checks that servers stay known if their entries expire during a short outage in which
+// only watches get no answer, and are written again 2 s after its start.
 func TestEntriesExpiredInShortOutage(t *testing.T) {
 	forEachPhase(t, func(t *testing.T, s *simulation) {
 		s.store.BlockWatches(true)
@@ -133,8 +133,8 @@
 	})
 }
 
-// TestEntryRemovedAfterOldOutage checks that a server whose entry is removed long after the last outage of the
-// store is removed without a grace period.
+// TestEntryRemovedAfterOldOutage checks that a server whose entry is removed long after the last outage of the store is
+// removed at once, without the grace period that applies after an outage (LapseGrace).
 func TestEntryRemovedAfterOldOutage(t *testing.T) {
 	w := newTestWatcher(nil, directory.New(), discardLog())
 	now := clock.Now()
--- a/entry/load_test.go
+++ b/entry/load_test.go
@@ -14,24 +14,24 @@
 	"github.com/martenport/martenport/internal/standin"
 )
 
-// loadFleet is a fleet under a constant load for one model, which three engines have loaded.
+// loadFleet is a fleet with three engines that receives requests for one model at a constant rate.
 type loadFleet struct {
 	*fleet
 	engines []*standin.Server
-	// model is the requested model: m1, which all engines have loaded, unless it is changed before startLoad.
+	// model is the requested model. It is m1, which all engines have loaded, unless a test sets it before startLoad.
 	model string
-	// pause is the interval between requests.
+	// pause is the interval between requests: loadPause unless a test sets it before startLoad.
 	pause     time.Duration
 	stop      context.CancelFunc
 	loadEnded chan struct{}
 
 	mu sync.Mutex
-	// requests are all requests in the order in which they were sent; guarded by mu. The list of instances is also
-	// guarded by mu while the load runs.
+	// requests contains all requests in the order in which they were sent; guarded by mu. While the load runs, mu
+	// also guards fleet.instances.
 	requests []*loadRequest
 }
 
-// loadRequest is a request of the load and its answer.
+// loadRequest is a request of the load and its answer, which is valid if done is set.
 type loadRequest struct {
 	answer
 	instance *running
@@ -51,7 +51,7 @@
 func newLoadFleet(t *testing.T) *loadFleet {
 	f := &loadFleet{fleet: newFleet(t, loadInstances), loadEnded: make(chan struct{}), model: "m1", pause: loadPause}
 	f.addServer("e3", "llm", []string{"m1"})
-	t.Cleanup(func() { // all together: each takes seconds to stop
+	t.Cleanup(func() { // stop all before waiting for any: each takes seconds
 		for _, r := range f.instances {
 			r.stop()
 		}
@@ -105,7 +105,8 @@
 		e.total, e.served, e.refused, e.withoutRetryAfter, e.failed)
 }
 
-// outcomesBetween counts the outcomes of the requests that were sent from one time until before another.
+// outcomesBetween counts the outcomes of the answered requests that were sent from the time from until before to. A
+// request is served if it got the complete stream, and refused if it got status 503 or 429.
 func (f *loadFleet) outcomesBetween(from, to time.Time) (e outcomes) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,8 +130,8 @@
 	return e
 }
 
-// maxArrivalsInWindow returns the largest number of attempts that reached a server in any window of the given
-// length, from one time until before another.
+// maxArrivalsInWindow returns the largest number of attempts that reached a server within any window of the given
+// length, counting attempts that arrived from the time from until before to.
 func maxArrivalsInWindow(s *standin.Server, window time.Duration, from, to time.Time) int {
 	var at []time.Time
 	for _, a := range s.State().Arrivals {
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -13,8 +13,8 @@
 	"github.com/martenport/martenport/serving"
 )
 
-// recordCrashes makes an instance record n crashes of servers under a request. Those from the suspect threshold on
-// are of isolated runs.
+// recordCrashes makes an instance record n crashes of different servers against a request. The first SuspectAfter
+// crashes make the request a suspect; the others are recorded as crashes in isolated runs.
 func recordCrashes(r *running, fp serving.Fingerprint, n int) {
 	for i := range n {
 		b := quarantine.BrokenAttempt{Fingerprint: fp, Subject: "POST h.example/x m1", Server: serving.Server{ID: string(rune('a' + i)), Version: "v1"}, Isolated: i >= quarantine.SuspectAfter}
@@ -22,7 +22,7 @@
 	}
 }
 
-// allInState returns a condition: all instances have a request in the given state.
+// allInState returns a condition for await: a request is in the given state at all instances.
 func (f *fleet) allInState(fp serving.Fingerprint, want quarantine.State) func() bool {
 	return func() bool {
 		for _, r := range f.instances {
@@ -72,7 +72,8 @@
 	}
 }
 
-// TestCrashesAddUpAcrossInstances checks that crashes recorded by different instances add up.
+// TestCrashesAddUpAcrossInstances checks that a request is quarantined everywhere if each of three instances has
+// recorded one crash against it.
 func TestCrashesAddUpAcrossInstances(t *testing.T) {
 	f := newFleet(t, 3)
 	f.await("a holder", func() bool { return f.holder() != nil })
@@ -166,9 +167,9 @@
 	}
 }
 
-// TestPendingCrashOutlastsInstances checks that a request does not run while it is undecided whether it crashed the
-// server of its isolated run, and that instances that start after all others have ended decide it. Guards against
-// requests that crash one more server after each restart of all instances.
+// TestPendingCrashOutlastsInstances checks that a request may not run while it is pending whether the crash of the
+// server of its isolated run is attributed to it, and that instances that start after all others have ended decide
+// this. Guards against requests that crash one more server after each restart of all instances.
 func TestPendingCrashOutlastsInstances(t *testing.T) {
 	f := newFleet(t, 2)
 	f.await("a holder", func() bool { return f.holder() != nil })
@@ -199,7 +200,8 @@
 	f.await("the concurrent request is cleared", f.allInState("beside", quarantine.Clear))
 }
 
-// recordServerCrash makes an instance record a crash of a server under a request.
+// recordServerCrash makes an instance record the crash of a server that was running a request. Calls with the same
+// server number are about the same server.
 func recordServerCrash(r *running, fp serving.Fingerprint, server int, isolated bool) {
 	s := serving.Server{ID: string(rune('a' + server)), Version: "v1"}
 	b := quarantine.BrokenAttempt{Fingerprint: fp, Server: s, Isolated: isolated}
--- a/entry/simulation_test.go
+++ b/entry/simulation_test.go
@@ -20,17 +20,17 @@
 	"github.com/martenport/martenport/store"
 )
 
-// simulation runs the control plane of many instances with a stand-in of the store, in virtual time: it must run in
-// a synctest bubble. There are entries of backend servers, but no servers.
+// simulation runs the control plane of many instances with a stand-in of the store, in virtual time; it must run in
+// a synctest bubble. The store contains entries of backend servers, but no servers run.
 type simulation struct {
 	t             *testing.T
 	store         *standin.Platform
 	storeHTTP     *http.Server
 	storeListener *memoryListener
 	deployment    deployment
-	// initialCopy is a backup of the store from before the start of the instances.
+	// initialCopy is a backup of the store from before the start of the instances, without a lease.
 	initialCopy standin.Copy
-	// restarted is set if the system was started before.
+	// restarted is set before all instances are started again: they then start without the setting Bootstrap.
 	restarted bool
 	// sequence is the number of server entries written.
 	sequence int
@@ -61,7 +61,7 @@
 type simulatedInstance struct {
 	*Instance
 	address string
-	// storeLink is the instance's connection path to the store.
+	// storeLink is the link that carries the instance's connections to the store.
 	storeLink *memoryLink
 	stop      func()
 }
@@ -69,8 +69,8 @@
 // deployment is the size and the bounds of a deployment.
 type deployment struct {
 	instances int
-	// propagationBound is the time for which a server may get requests after it reported that it is draining, and
-	// the time within which a configuration must be in force.
+	// propagationBound is the maximum time for which a server may get requests after it reported that it is
+	// draining, and the maximum time until a new configuration is in force.
 	propagationBound time.Duration
 }
 
@@ -82,11 +82,11 @@
 
 const (
 	simulatedLease = 3 * time.Second
-	// shutdownWait is the time in which pending calls time out.
+	// shutdownWait is the time after which all pending calls have timed out.
 	shutdownWait = 10 * time.Second
 )
 
-// testMaxUpdateAge is the maximum age of an update of the holder in unit tests.
+// testMaxUpdateAge is the maximum age of an update from the holder in unit tests.
 const testMaxUpdateAge = 1500 * time.Millisecond
 
 // newTestWatcher returns a watcher of a store for an instance that never holds the lease.
@@ -115,7 +115,8 @@
 	return s
 }
 
-// settled reports whether there is a holder, and all other instances rely on it.
+// settled reports whether there is a holder, and all other instances rely on it: its last
+// update to them has not expired.
 func (s *simulation) settled() bool {
 	now := time.Now()
 	return s.holder() != nil && !slices.ContainsFunc(s.all(), func(i *simulatedInstance) bool {
@@ -123,7 +124,7 @@
 	})
 }
 
-// add starts the instance of a machine.
+// add starts an instance whose node name and address are derived from the number machine.
 func (s *simulation) add(machine int) *simulatedInstance {
 	link := &memoryLink{}
 	settings := platform.Settings{NodeName: fmt.Sprintf("node-%d", machine), IP: fmt.Sprintf("10.0.%d.%d", machine/200, 1+machine%200), Zone: string(rune('a' + machine%3)), InternalPorts: []int{7380, 7390}}
@@ -222,7 +223,8 @@
 	}
 }
 
-// timeUntilAllKnow calls leave and returns the time until all instances but except know that the server is leaving.
+// timeUntilAllKnow calls leave and returns the time until all instances know that the server is leaving. It ignores
+// the instance except, which may be nil.
 func (s *simulation) timeUntilAllKnow(id string, leave func(id string), except *simulatedInstance) time.Duration {
 	leftAt := time.Now()
 	leave(id)
@@ -233,7 +235,8 @@
 // drain writes an entry in which a server reports that it is draining.
 func (s *simulation) drain(id string) { s.announce(id, "draining") }
 
-// allKnowLeaving reports whether no instance but except would send requests to a server.
+// allKnowLeaving reports whether all instances know that a server is draining or no longer know the server. It
+// ignores the instance except, which may be nil.
 func (s *simulation) allKnowLeaving(id string, except *simulatedInstance) bool {
 	return !slices.ContainsFunc(s.all(), func(i *simulatedInstance) bool {
 		server, known := i.dir.Server(id)
@@ -241,8 +244,8 @@
 	})
 }
 
-// restoreStore makes the store unavailable for 300 ms and restores it from a backup. Servers and operators write
-// their missing entries again.
+// restoreStore makes the store unavailable for 300 ms and restores it from a backup. Server entries and configurations
+// that were written after the backup are written again, as servers and operators would do.
 func (s *simulation) restoreStore(c standin.Copy) {
 	s.store.SetDown(true)
 	time.Sleep(300 * time.Millisecond)
