--- a/command/holder/outage_test.go
+++ b/command/holder/outage_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -40,8 +41,11 @@
 		time.Sleep(6 * time.Second)
 		stop()
 		time.Sleep(5 * time.Second)
+		engine.mu.Lock()
+		accepted := slices.Clone(engine.accepted)
+		engine.mu.Unlock()
 		during, after := 0, time.Duration(-1)
-		for _, o := range engine.accepted {
+		for _, o := range accepted {
 			switch at := o.at; {
 			case at.Before(outageStart):
 			case at.Before(outageEnd):
@@ -141,11 +145,15 @@
 				t.Fatal("the engine is skipped as failing while its unload waits")
 			}
 		}
-		if loads := engine.loads("m2"); len(loads) == 0 || len(engine.accepted) < 2 {
-			t.Errorf("%d orders accepted, want an unload and a load", len(engine.accepted))
+		loads := engine.loads("m2") // locks mu itself
+		engine.mu.Lock()
+		accepted, refused := len(engine.accepted), engine.refused
+		engine.mu.Unlock()
+		if len(loads) == 0 || accepted < 2 {
+			t.Errorf("%d orders accepted, want an unload and a load", accepted)
 		}
-		if engine.refused == 0 || engine.refused > 30 {
-			t.Errorf("%d orders refused in 6 s, want between 1 and 30", engine.refused)
+		if refused == 0 || refused > 30 {
+			t.Errorf("%d orders refused in 6 s, want between 1 and 30", refused)
 		}
 	})
 }
